--- a/packages/coordination/src/marjoramyard/coordination/placement/broker.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker.py
@@ -16,13 +16,13 @@
 
 import math
 
-from marjoramyard.coordination.placement.board import EngineBoard
+from marjoramyard.coordination.placement.engine_pool import EngineBoard
 from marjoramyard.coordination.placement.engines import (
     FIRST_TOKEN_MS,
     Flight,
 )
-from marjoramyard.coordination.placement.lines import Line, Waiting
 from marjoramyard.coordination.placement.plans import best_plan
+from marjoramyard.coordination.placement.request_queue import Line, Waiting
 from marjoramyard.coordination.placement.requests import (
     Ask,
     Granted,
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from marjoramyard.coordination.placement.kept import KeptParts
+from marjoramyard.coordination.placement.prefix_cache import KeptParts
 from marjoramyard.coordination.routing.config import EngineProfile
 
 AHEAD_MS = 60.0
--- a/packages/coordination/src/marjoramyard/coordination/placement/plans.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/plans.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from marjoramyard.coordination.placement.choice import (
+from marjoramyard.coordination.placement.engines import Engine
+from marjoramyard.coordination.placement.local_placement import (
     FETCH_SETUP_MS,
     home_of,
     split_parts,
 )
-from marjoramyard.coordination.placement.engines import Engine
 from marjoramyard.coordination.placement.requests import Ask
 from marjoramyard.coordination.routing.config import EngineProfile
 
--- a/packages/coordination/tests/placement/test_broker.py
+++ b/packages/coordination/tests/placement/test_broker.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from marjoramyard.coordination.placement.broker import Broker
-from marjoramyard.coordination.placement.choice import (
+from marjoramyard.coordination.placement.engines import AHEAD_MS
+from marjoramyard.coordination.placement.local_placement import (
     EngineView,
     home_of,
     place_prompt,
 )
-from marjoramyard.coordination.placement.engines import AHEAD_MS
-from marjoramyard.coordination.placement.kept import KeptParts
+from marjoramyard.coordination.placement.prefix_cache import KeptParts
 from marjoramyard.coordination.placement.requests import Granted, Sent
 from marjoramyard.coordination.routing.table import PromptPart
 
--- a/packages/coordination/tests/placement/test_candidates.py
+++ b/packages/coordination/tests/placement/test_broker_selection.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marjoramyard.coordination.placement.candidates import (
+from marjoramyard.coordination.placement.broker_selection import (
     MAX_BROKERS,
     BrokerCandidate,
     BrokerChoice,
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -14,7 +14,7 @@
     Registration,
     Registrations,
 )
-from marjoramyard.coordination.placement.candidates import (
+from marjoramyard.coordination.placement.broker_selection import (
     BrokerCandidate,
     BrokerChoice,
 )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/loads.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/loads.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from marjoramyard.coordination.placement.choice import EngineView
+from marjoramyard.coordination.placement.local_placement import EngineView
 from marjoramyard.coordination.routing.config import FleetConfig
 
 READ_SHARE = 1.8
--- a/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
@@ -13,7 +13,7 @@
     EndpointState,
     Registration,
 )
-from marjoramyard.coordination.placement.choice import place_prompt
+from marjoramyard.coordination.placement.local_placement import place_prompt
 from marjoramyard.coordination.routing.config import Service
 from marjoramyard.coordination.serving.retries import RetryBudget
 from marjoramyard.fleet.gateway.admitting import CallerRequest
--- a/packages/standin/src/marjoramyard/standin/experiment/memory.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/memory.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from marjoramyard.coordination.placement.kept import leading_tokens
+from marjoramyard.coordination.placement.prefix_cache import leading_tokens
 from marjoramyard.coordination.routing.table import PromptPart
 
 
--- a/packages/standin/src/marjoramyard/standin/experiment/policies.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/policies.py
@@ -5,7 +5,10 @@
 from typing import Protocol
 
 from marjoramyard.coordination.placement.broker import Broker
-from marjoramyard.coordination.placement.choice import home_of, split_parts
+from marjoramyard.coordination.placement.local_placement import (
+    home_of,
+    split_parts,
+)
 from marjoramyard.coordination.placement.requests import (
     Ask,
     Granted,
