--- a/packages/coordination/src/marjoramyard/coordination/placement/broker.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker.py
@@ -16,18 +16,21 @@
 
 import math
 
-from marjoramyard.coordination.placement.engine_pool import EngineBoard
+from marjoramyard.coordination.placement.engine_pool import EnginePool
 from marjoramyard.coordination.placement.engines import (
     FIRST_TOKEN_MS,
-    Flight,
+    InFlightRequest,
 )
 from marjoramyard.coordination.placement.plans import best_plan
-from marjoramyard.coordination.placement.request_queue import Line, Waiting
+from marjoramyard.coordination.placement.request_queue import (
+    QueuedRequest,
+    RequestQueue,
+)
 from marjoramyard.coordination.placement.requests import (
-    Ask,
-    Granted,
-    Refused,
-    Sent,
+    PlacementGrant,
+    PlacementRefusal,
+    PlacementRequest,
+    UnbrokeredRequest,
     refusal,
     service_cost,
 )
@@ -46,16 +49,16 @@
 end of a prompt, some ms later."""
 
 
-class Broker(EngineBoard):
+class Broker(EnginePool):
     """The queue of one service. Times are milliseconds of one clock."""
 
     def __init__(self, profile: EngineProfile, rate: float):
         super().__init__(profile, rate)
-        self.lines: dict[str, Line] = {}
+        self.lines: dict[str, RequestQueue] = {}
         self.level: dict[str, float] = {}
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, QueuedRequest] = {}
         # What silent routers have asked for, by key.
-        self.suspended: dict[str, Waiting] = {}
+        self.suspended: dict[str, QueuedRequest] = {}
         self.counter = 0
 
     def counts(self) -> dict[str, int]:
@@ -69,30 +72,30 @@
 
     # Requests.
 
-    def ask(self, ask: Ask, now: float) -> Refused | None:
+    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
         """Takes in a request; it is refused at once if it would be late."""
-        waiting = Waiting(ask, self._cost(ask))
+        waiting = QueuedRequest(ask, self._cost(ask))
         late = self._predict_late(waiting, now)
         if late is not None:
             return late
         self._enter_line(waiting)
         return None
 
-    def _enter_line(self, waiting: Waiting) -> None:
+    def _enter_line(self, waiting: QueuedRequest) -> None:
         workspace = waiting.ask.workspace
-        line = self.lines.setdefault(workspace, Line())
+        line = self.lines.setdefault(workspace, RequestQueue())
         if not line.heap:
             self._level_up(workspace)
         self._queue(waiting)
 
-    def _queue(self, waiting: Waiting) -> None:
+    def _queue(self, waiting: QueuedRequest) -> None:
         self._leave(waiting.ask.key)
         waiting.is_gone = False
         self.counter += 1
         self.lines[waiting.ask.workspace].push(waiting, self.counter)
         self.waiting[waiting.ask.key] = waiting
 
-    def _cost(self, ask: Ask) -> float:
+    def _cost(self, ask: PlacementRequest) -> float:
         """Returns the tokens that a request is likely to have read."""
         best = 0
         for engine in self.engines.values():
@@ -140,11 +143,11 @@
             return 0.0
         return self.mean_wait_ms + ahead / self.total_rate
 
-    def _read_ms(self, waiting: Waiting) -> float:
+    def _read_ms(self, waiting: QueuedRequest) -> float:
         count = sum(1 for e in self.engines.values() if e.is_usable) or 1
         return waiting.cost / (self.total_rate / count)
 
-    def _due_at(self, waiting: Waiting) -> float:
+    def _due_at(self, waiting: QueuedRequest) -> float:
         """Returns when the first token is due.
 
         A prompt that takes longer to read than its objective allows gets
@@ -154,7 +157,9 @@
         needs = self._read_ms(waiting) + FIRST_TOKEN_MS + LARGE_SLACK_MS
         return max(ask.aim_at, ask.asked_at + needs)
 
-    def _predict_late(self, waiting: Waiting, now: float) -> Refused | None:
+    def _predict_late(
+        self, waiting: QueuedRequest, now: float
+    ) -> PlacementRefusal | None:
         if not any(e.is_usable for e in self.engines.values()):
             return None
         ask = waiting.ask
@@ -166,7 +171,7 @@
             return None
         return refusal(ask.key, wait_ms, first_ms, over_ms)
 
-    def _is_late(self, waiting: Waiting, now: float) -> bool:
+    def _is_late(self, waiting: QueuedRequest, now: float) -> bool:
         least = min(e.wait_ms for e in self.engines.values() if e.is_usable)
         first_at = now + least + self._read_ms(waiting) + FIRST_TOKEN_MS
         return first_at > self._due_at(waiting)
@@ -197,14 +202,14 @@
             if waiting.ask.router == router:
                 del self.suspended[key]
                 # Its old entry may still be in the line's heap, as gone.
-                self._enter_line(Waiting(waiting.ask, waiting.cost))
+                self._enter_line(QueuedRequest(waiting.ask, waiting.cost))
 
     def _leave(self, key: str) -> None:
         waiting = self.waiting.pop(key, None)
         if waiting is not None:
             self.lines[waiting.ask.workspace].leave(waiting)
 
-    def adopt(self, sent: Sent, now: float) -> None:
+    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that a router sent without a grant.
 
         It takes of its workspace's share like any other, or a workspace
@@ -214,7 +219,7 @@
         if engine is None or sent.key in self.flights:
             return
         is_reading = sent.tokens > 0
-        flight = Flight(
+        flight = InFlightRequest(
             sent.endpoint,
             sent.tokens,
             sent.memory,
@@ -231,7 +236,7 @@
 
     # Grants.
 
-    def pump(self, now: float) -> list[Granted | Refused]:
+    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Grants as many requests as engines should get now.
 
         A request that waited until it can't be on time any more, though it
@@ -239,8 +244,8 @@
         """
         if self.late:
             self.end_expected(now)
-        told: list[Granted | Refused] = []
-        deferred: list[Waiting] = []
+        told: list[PlacementGrant | PlacementRefusal] = []
+        deferred: list[QueuedRequest] = []
         while len(deferred) < MAX_DEFERRED and any(
             e.takes(0.0) for e in self.engines.values()
         ):
@@ -264,7 +269,7 @@
             self._queue(waiting)
         return told
 
-    def _next(self) -> Waiting | None:
+    def _next(self) -> QueuedRequest | None:
         """Takes the most urgent request of the least served workspace."""
         names = [name for name, line in self.lines.items() if line.heap]
         if not names:
@@ -274,7 +279,9 @@
         del self.waiting[waiting.ask.key]
         return waiting
 
-    def _place(self, ask: Ask, now: float) -> Granted | None:
+    def _place(
+        self, ask: PlacementRequest, now: float
+    ) -> PlacementGrant | None:
         """Grants the engine where the request costs least.
 
         None if that engine has enough to read for now: the request waits
@@ -294,16 +301,18 @@
         engine = plan.engine
         if not engine.takes(memory):
             return None
-        flight = Flight(
+        flight = InFlightRequest(
             engine.endpoint, plan.tokens, memory, now, router=ask.router
         )
         self.add_flight(engine, ask.key, flight)
         engine.kept.read(ask.parts)
         cost = service_cost(plan.tokens, ask.output_tokens)
         self._charge(ask.workspace, cost)
-        return Granted(ask.key, engine.endpoint, plan.fetch_from, plan.tokens)
+        return PlacementGrant(
+            ask.key, engine.endpoint, plan.fetch_from, plan.tokens
+        )
 
-    def overdue(self, now: float) -> list[Refused]:
+    def overdue(self, now: float) -> list[PlacementRefusal]:
         """Refuses what waits although its caller's time is over."""
         found = [
             waiting.ask
@@ -312,4 +321,4 @@
         ]
         for ask in found:
             self.cancel(ask.key)
-        return [Refused(a.key, 0.0, now - a.asked_at) for a in found]
+        return [PlacementRefusal(a.key, 0.0, now - a.asked_at) for a in found]
--- a/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
@@ -26,7 +26,7 @@
     capacity: float
 
 
-class BrokerChoice:
+class BrokerSelector:
     """The brokers named last, in an order that stays while they are able.
 
     After a restart of the whole fleet routers come in one by one. Ordered
--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -5,7 +5,7 @@
 from marjoramyard.coordination.placement.engines import (
     FIRST_TOKEN_MS,
     Engine,
-    Flight,
+    InFlightRequest,
 )
 from marjoramyard.coordination.routing.config import EngineProfile
 
@@ -15,14 +15,14 @@
 longer to send is short of processor."""
 
 
-class EngineBoard:
+class EnginePool:
     """The engines of a service and the requests at them."""
 
     def __init__(self, profile: EngineProfile, rate: float):
         self.profile = profile
         self.rate = rate
         self.engines: dict[str, Engine] = {}
-        self.flights: dict[str, Flight] = {}
+        self.flights: dict[str, InFlightRequest] = {}
         self.late: set[str] = set()
 
     def set_engines(self, usable: Iterable[str]) -> None:
@@ -70,7 +70,9 @@
         flight.is_reading = False
         engine.end_reading(flight.tokens, now, is_fresh)
 
-    def _end_overdue(self, engine: Engine, last: Flight, now: float) -> None:
+    def _end_overdue(
+        self, engine: Engine, last: InFlightRequest, now: float
+    ) -> None:
         """Counts as read what must have been read before `last`.
 
         Engines read in order of arrival. News of an earlier prompt that is
@@ -85,7 +87,7 @@
 
     @staticmethod
     def _count_as_read(
-        engine: Engine, key: str, flight: Flight, now: float
+        engine: Engine, key: str, flight: InFlightRequest, now: float
     ) -> None:
         del engine.unread[key]
         flight.is_reading = False
@@ -131,7 +133,9 @@
                 if flight.router == router:
                     self._count_as_read(engine, key, flight, now)
 
-    def add_flight(self, engine: Engine, key: str, flight: Flight) -> None:
+    def add_flight(
+        self, engine: Engine, key: str, flight: InFlightRequest
+    ) -> None:
         """Counts a request that goes to an engine."""
         self.flights[key] = flight
         if flight.is_reading:
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from marjoramyard.coordination.placement.prefix_cache import KeptParts
+from marjoramyard.coordination.placement.prefix_cache import PrefixCache
 from marjoramyard.coordination.routing.config import EngineProfile
 
 AHEAD_MS = 60.0
@@ -29,7 +29,7 @@
 included."""
 
 
-class Flight(msgspec.Struct):
+class InFlightRequest(msgspec.Struct):
     """A request at an engine.
 
     Attributes:
@@ -55,10 +55,10 @@
         self.memory_tokens = profile.memory_tokens
         self.configured_rate = rate
         self.rate = rate
-        self.kept = KeptParts(profile.memory_tokens)
+        self.kept = PrefixCache(profile.memory_tokens)
         self.running = 0
         # In the order of their grants, which is about that of arrival.
-        self.unread: dict[str, Flight] = {}
+        self.unread: dict[str, InFlightRequest] = {}
         self.reading_tokens = 0.0
         self.memory = 0.0
         self.run_began_at = 0.0
--- a/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
@@ -61,7 +61,7 @@
     wait_ms: float = 0.0
 
 
-def home_of(digest: str, endpoints: Sequence[str]) -> str:
+def preferred_engine(digest: str, endpoints: Sequence[str]) -> str:
     """Returns the endpoint that a part belongs to (rendezvous hashing).
 
     When an endpoint comes or goes only its own parts move, so the others'
@@ -106,7 +106,7 @@
             can't fetch.
     """
     key, shared, own = split_parts(parts)
-    home_name = home_of(key, [engine.endpoint for engine in engines])
+    home_name = preferred_engine(key, [engine.endpoint for engine in engines])
     home = next(e for e in engines if e.endpoint == home_name)
     best = min(engines, key=lambda engine: engine.wait_ms)
     if home.wait_ms <= best.wait_ms + MOVE_MARGIN_MS:
--- a/packages/coordination/src/marjoramyard/coordination/placement/plans.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/plans.py
@@ -7,10 +7,10 @@
 from marjoramyard.coordination.placement.engines import Engine
 from marjoramyard.coordination.placement.local_placement import (
     FETCH_SETUP_MS,
-    home_of,
+    preferred_engine,
     split_parts,
 )
-from marjoramyard.coordination.placement.requests import Ask
+from marjoramyard.coordination.placement.requests import PlacementRequest
 from marjoramyard.coordination.routing.config import EngineProfile
 
 FETCH_GAIN_TOKENS = 64
@@ -41,7 +41,7 @@
 
 
 def best_plan(
-    ask: Ask,
+    ask: PlacementRequest,
     usable: list[Engine],
     roomy: Iterable[Engine],
     profile: EngineProfile,
@@ -60,16 +60,18 @@
     return min(plans, key=lambda plan: plan.cost_ms)
 
 
-def _home_if_unknown(ask: Ask, keeper: Engine, usable: list[Engine]) -> str:
+def _home_if_unknown(
+    ask: PlacementRequest, keeper: Engine, usable: list[Engine]
+) -> str:
     """Returns a prompt's home if nobody is known to keep its parts."""
     if keeper.kept.leading_tokens(ask.parts[:-1]):
         return ""
     key, _, _ = split_parts(ask.parts)
-    return home_of(key, [engine.endpoint for engine in usable])
+    return preferred_engine(key, [engine.endpoint for engine in usable])
 
 
 def _plan(
-    ask: Ask,
+    ask: PlacementRequest,
     engine: Engine,
     keeper: Engine,
     home: str,
--- a/packages/coordination/src/marjoramyard/coordination/placement/prefix_cache.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/prefix_cache.py
@@ -19,7 +19,7 @@
     return found
 
 
-class KeptParts:
+class PrefixCache:
     """The parts that one engine has read, least recently used first.
 
     Engines report what they keep late and with gaps, while every request
--- a/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from marjoramyard.coordination.placement.requests import Ask
+from marjoramyard.coordination.placement.requests import PlacementRequest
 
 
-class Waiting(msgspec.Struct):
+class QueuedRequest(msgspec.Struct):
     """A request in a line.
 
     Attributes:
@@ -15,19 +15,19 @@
         is_gone: Its caller has left, or it was refused.
     """
 
-    ask: Ask
+    ask: PlacementRequest
     cost: float
     is_gone: bool = False
 
 
-class Line:
+class RequestQueue:
     """The waiting requests of one workspace, the most urgent first."""
 
     def __init__(self):
-        self.heap: list[tuple[float, int, Waiting]] = []
+        self.heap: list[tuple[float, int, QueuedRequest]] = []
         self.tokens = 0.0
 
-    def push(self, waiting: Waiting, number: int) -> None:
+    def push(self, waiting: QueuedRequest, number: int) -> None:
         """Adds a request."""
         heapq.heappush(self.heap, (waiting.ask.aim_at, number, waiting))
         self.tokens += waiting.cost
@@ -40,7 +40,7 @@
             if due <= aim_at and not waiting.is_gone
         )
 
-    def leave(self, waiting: Waiting) -> None:
+    def leave(self, waiting: QueuedRequest) -> None:
         """Counts a request no more that waits no more.
 
         In a rush callers leave by the dozen. Counted as ahead of others
@@ -53,7 +53,7 @@
         if not self.heap:
             self.tokens = 0.0
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueuedRequest:
         """Takes the request that is due first."""
         _, _, waiting = heapq.heappop(self.heap)
         self.leave(waiting)
--- a/packages/coordination/src/marjoramyard/coordination/placement/requests.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/requests.py
@@ -11,7 +11,7 @@
 have no further try. Much later than this they would not wait."""
 
 
-class Ask(msgspec.Struct, kw_only=True):
+class PlacementRequest(msgspec.Struct, kw_only=True):
     """A request that wants an engine.
 
     Attributes:
@@ -48,7 +48,7 @@
         return float(own + self.output_tokens)
 
 
-class Sent(msgspec.Struct, frozen=True, kw_only=True):
+class UnbrokeredRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request that a router sent without a grant of this broker.
 
     Attributes:
@@ -78,7 +78,7 @@
     return tokens + 2.0 * output_tokens
 
 
-class Granted(msgspec.Struct, frozen=True):
+class PlacementGrant(msgspec.Struct, frozen=True):
     """A request that may be sent now."""
 
     key: str
@@ -87,7 +87,7 @@
     tokens: float
 
 
-class Refused(msgspec.Struct, frozen=True):
+class PlacementRefusal(msgspec.Struct, frozen=True):
     """A request that would be late; it may come back after a while.
 
     Attributes:
@@ -104,7 +104,7 @@
 
 def refusal(
     key: str, wait_ms: float, predicted_ms: float, over_ms: float = 0.0
-) -> Refused:
+) -> PlacementRefusal:
     """Returns the word for a request that would be late."""
     return_ms = max(wait_ms, RUSH_RETURN_MS)
-    return Refused(key, return_ms, predicted_ms, over_ms)
+    return PlacementRefusal(key, return_ms, predicted_ms, over_ms)
--- a/packages/coordination/tests/placement/engine_simulation.py
+++ b/packages/coordination/tests/placement/engine_simulation.py
@@ -6,7 +6,10 @@
 import random
 
 from marjoramyard.coordination.placement.broker import Broker
-from marjoramyard.coordination.placement.requests import Ask, Refused
+from marjoramyard.coordination.placement.requests import (
+    PlacementRefusal,
+    PlacementRequest,
+)
 from marjoramyard.coordination.routing.config import EngineProfile
 from marjoramyard.coordination.routing.table import PromptPart
 
@@ -34,7 +37,7 @@
         "give_up_at": now + 5000.0,
         "asked_at": now,
     }
-    return Ask(**{**fields, **changes})
+    return PlacementRequest(**{**fields, **changes})
 
 
 class Simulation:
@@ -74,7 +77,7 @@
 
     def pump(self):
         for told in self.broker.pump(self.now):
-            if isinstance(told, Refused):
+            if isinstance(told, PlacementRefusal):
                 self.refused[told.key] = told
                 continue
             start = max(self.now, self.free_at[told.endpoint])
--- a/packages/coordination/tests/placement/test_broker.py
+++ b/packages/coordination/tests/placement/test_broker.py
@@ -11,11 +11,14 @@
 from marjoramyard.coordination.placement.engines import AHEAD_MS
 from marjoramyard.coordination.placement.local_placement import (
     EngineView,
-    home_of,
     place_prompt,
+    preferred_engine,
+)
+from marjoramyard.coordination.placement.prefix_cache import PrefixCache
+from marjoramyard.coordination.placement.requests import (
+    PlacementGrant,
+    UnbrokeredRequest,
 )
-from marjoramyard.coordination.placement.prefix_cache import KeptParts
-from marjoramyard.coordination.placement.requests import Granted, Sent
 from marjoramyard.coordination.routing.table import PromptPart
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -193,7 +196,10 @@
 
 def test_running_requests_are_counted_again_after_a_change_of_broker():
     broker = make_broker(1)
-    broker.adopt(Sent(key="old", endpoint="e0", tokens=3000, memory=3000), 0.0)
+    broker.adopt(
+        UnbrokeredRequest(key="old", endpoint="e0", tokens=3000, memory=3000),
+        0.0,
+    )
     assert broker.engines["e0"].wait_ms == pytest.approx(3000 / RATE)
     broker.ended("old")
     assert broker.engines["e0"].wait_ms == 0
@@ -239,7 +245,7 @@
 
 
 def test_kept_parts_count_only_from_the_start_and_the_oldest_goes():
-    kept = KeptParts(1000)
+    kept = PrefixCache(1000)
     a, b, c = (PromptPart(name, 400) for name in "abc")
     kept.read([a, b])
     assert kept.leading_tokens([a, b, c]) == 800
@@ -252,12 +258,12 @@
 
 def test_a_part_keeps_its_home_while_others_come_and_go():
     names = [f"e{number}" for number in range(8)]
-    homes = {f"p{n}": home_of(f"p{n}", names) for n in range(200)}
+    homes = {f"p{n}": preferred_engine(f"p{n}", names) for n in range(200)}
     moved = [
         part
         for part, home in homes.items()
         if home != "e3"
-        and home_of(part, [n for n in names if n != "e3"]) != home
+        and preferred_engine(part, [n for n in names if n != "e3"]) != home
     ]
     assert moved == []
 
@@ -279,4 +285,4 @@
     broker = make_broker(1)
     broker.ask(make_ask("k"), 0.0)
     (told,) = broker.pump(0.0)
-    assert told == Granted("k", "e0", "", 2000)
+    assert told == PlacementGrant("k", "e0", "", 2000)
--- a/packages/coordination/tests/placement/test_broker_delayed_reports.py
+++ b/packages/coordination/tests/placement/test_broker_delayed_reports.py
@@ -6,7 +6,7 @@
 import pytest
 
 from marjoramyard.coordination.placement.engines import FIRST_TOKEN_MS
-from marjoramyard.coordination.placement.requests import Sent
+from marjoramyard.coordination.placement.requests import UnbrokeredRequest
 
 sys.path.insert(0, str(Path(__file__).parent))
 from engine_simulation import (  # noqa: E402
@@ -157,7 +157,7 @@
         ask = make_ask(workspace, workspace, now=0.0, tokens=300)
         assert broker.ask(ask, 0.0) is None
     for number in range(3):
-        sent = Sent(
+        sent = UnbrokeredRequest(
             key=f"past-{number}",
             endpoint="e0",
             tokens=300,
--- a/packages/coordination/tests/placement/test_broker_engine_choice.py
+++ b/packages/coordination/tests/placement/test_broker_engine_choice.py
@@ -4,7 +4,10 @@
 import sys
 from pathlib import Path
 
-from marjoramyard.coordination.placement.requests import Refused, Sent
+from marjoramyard.coordination.placement.requests import (
+    PlacementRefusal,
+    UnbrokeredRequest,
+)
 from marjoramyard.coordination.routing.table import PromptPart
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -36,7 +39,7 @@
     broker = make_broker(1)
     for number in range(12):
         ask = make_ask(f"long-{number}", tokens=1800)
-        assert not isinstance(broker.ask(ask, 0.0), Refused)
+        assert not isinstance(broker.ask(ask, 0.0), PlacementRefusal)
         broker.pump(0.0)
     assert broker.predicted_wait_ms("w") > 400
     chat = make_ask("chat", tokens=400, aim_at=400.0)
@@ -60,7 +63,10 @@
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
     broker.adopt(
-        Sent(key="busy", endpoint=home, tokens=50 * RATE, memory=0), 0.0
+        UnbrokeredRequest(
+            key="busy", endpoint=home, tokens=50 * RATE, memory=0
+        ),
+        0.0,
     )
     told = grant(broker, make_ask("second", shared=(GUIDE,)))
     assert told.endpoint == home
@@ -71,7 +77,10 @@
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
     broker.adopt(
-        Sent(key="busy", endpoint=home, tokens=200 * RATE, memory=0), 0.0
+        UnbrokeredRequest(
+            key="busy", endpoint=home, tokens=200 * RATE, memory=0
+        ),
+        0.0,
     )
     told = grant(broker, make_ask("second", shared=(GUIDE,)))
     assert told.endpoint != home
@@ -110,7 +119,10 @@
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
     broker.adopt(
-        Sent(key="busy", endpoint=home, tokens=65 * RATE, memory=0), 0.0
+        UnbrokeredRequest(
+            key="busy", endpoint=home, tokens=65 * RATE, memory=0
+        ),
+        0.0,
     )
     assert broker.ask(make_ask("same-guide", shared=(GUIDE,)), 0.0) is None
     assert broker.pump(0.0) == []
@@ -130,6 +142,9 @@
     """
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
-    broker.adopt(Sent(key="long", endpoint=home, tokens=0, memory=230_000), 0.0)
+    broker.adopt(
+        UnbrokeredRequest(key="long", endpoint=home, tokens=0, memory=230_000),
+        0.0,
+    )
     told = grant(broker, make_ask("second", shared=(GUIDE,)))
     assert told.endpoint != home
--- a/packages/coordination/tests/placement/test_broker_selection.py
+++ b/packages/coordination/tests/placement/test_broker_selection.py
@@ -6,7 +6,7 @@
 from marjoramyard.coordination.placement.broker_selection import (
     MAX_BROKERS,
     BrokerCandidate,
-    BrokerChoice,
+    BrokerSelector,
 )
 
 
@@ -20,7 +20,7 @@
     The fleet starts again and routers come in one by one, the last by name
     first. The first one named goes on.
     """
-    choice = BrokerChoice()
+    choice = BrokerSelector()
     able = []
     for name in ("d", "c", "b", "a"):
         able.append(candidate(name))
@@ -28,14 +28,14 @@
 
 
 def test_a_larger_host_takes_over_from_a_small_one():
-    choice = BrokerChoice()
+    choice = BrokerSelector()
     assert choice.choose([candidate("small", 0.3)]) == ["at-small"]
     both = [candidate("small", 0.3), candidate("large", 1.0)]
     assert choice.choose(both) == ["at-large", "at-small"]
 
 
 def test_the_next_one_takes_over_when_the_first_is_gone():
-    choice = BrokerChoice()
+    choice = BrokerSelector()
     choice.choose([candidate("a"), candidate("b"), candidate("c")])
     assert choice.choose([candidate("c"), candidate("b")])[0] == "at-b"
 
@@ -49,7 +49,7 @@
     )
 )
 def test_only_who_is_able_is_named_and_each_once(rounds):
-    choice = BrokerChoice()
+    choice = BrokerSelector()
     for able in rounds:
         named = choice.choose(candidate(n, c) for n, c in able.items())
         assert len(set(named)) == len(named)
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -16,7 +16,7 @@
 )
 from marjoramyard.coordination.placement.broker_selection import (
     BrokerCandidate,
-    BrokerChoice,
+    BrokerSelector,
 )
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.control.node import no_quorum
@@ -65,7 +65,7 @@
         self.news = asyncio.Event()
         self.gateways: dict[str, tuple[float, SyncRequest]] = {}
         self.unsent: dict[str, dict[str, Registration]] = {}
-        self.broker_choice = BrokerChoice()
+        self.broker_selector = BrokerSelector()
 
     # Registrations.
 
@@ -289,7 +289,7 @@
     def _brokers(self) -> list[str]:
         """Returns the gateways to broker, in an order that stays."""
         now = time.monotonic()
-        return self.broker_choice.choose(
+        return self.broker_selector.choose(
             BrokerCandidate(asked.name, asked.address, asked.capacity)
             for at, asked in self.gateways.values()
             if asked.capacity > 0 and now - at < _BROKER_FRESH_SECONDS
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
@@ -9,10 +9,10 @@
 
 from marjoramyard.coordination.placement.broker import Broker
 from marjoramyard.coordination.placement.requests import (
-    Ask,
-    Granted,
-    Refused,
-    Sent,
+    PlacementGrant,
+    PlacementRefusal,
+    PlacementRequest,
+    UnbrokeredRequest,
 )
 from marjoramyard.fleet.gateway.brokering import (
     BEAT_SECONDS,
@@ -173,7 +173,7 @@
             peer.queue.append(RefusePlace(told.number, 0.0, 0.0))
             return
         now = _now()
-        ask = Ask(
+        ask = PlacementRequest(
             key=peer.key(told.number),
             workspace=told.workspace,
             parts=told.prompt(),
@@ -194,7 +194,7 @@
         broker = self._broker(told.service)
         if broker is not None:
             peer.requests[told.number] = told.service
-            sent = Sent(
+            sent = UnbrokeredRequest(
                 key=peer.key(told.number),
                 endpoint=told.endpoint,
                 tokens=told.tokens,
@@ -206,7 +206,9 @@
             broker.adopt(sent, _now())
 
     @staticmethod
-    def _tell_refusal(peer: Peer, number: int, refused: Refused) -> None:
+    def _tell_refusal(
+        peer: Peer, number: int, refused: PlacementRefusal
+    ) -> None:
         peer.queue.append(
             RefusePlace(
                 number,
@@ -232,13 +234,13 @@
         for peer in self.peers.values():
             self._flush(peer)
 
-    def _tell(self, told: Granted | Refused) -> None:
+    def _tell(self, told: PlacementGrant | PlacementRefusal) -> None:
         peer_number, _, text = told.key.partition("/")
         peer = self.peers.get(int(peer_number))
         if peer is None:
             return
         number = int(text)
-        if isinstance(told, Refused):
+        if isinstance(told, PlacementRefusal):
             peer.requests.pop(number, None)
             self._tell_refusal(peer, number, told)
             return
--- a/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
@@ -3,7 +3,7 @@
 import functools
 from typing import TYPE_CHECKING
 
-from marjoramyard.coordination.placement.requests import Sent
+from marjoramyard.coordination.placement.requests import UnbrokeredRequest
 from marjoramyard.standin.experiment.credit import Outcome
 from marjoramyard.standin.experiment.deployments import (
     Disturbance,
@@ -45,7 +45,7 @@
     simulation.policy = simulation.new_policy()
     for attempt in open_ones:
         if attempt.run is not None:
-            sent = Sent(
+            sent = UnbrokeredRequest(
                 key=attempt.key,
                 endpoint=attempt.engine.name,
                 tokens=attempt.run.unread,
--- a/packages/standin/src/marjoramyard/standin/experiment/policies.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/policies.py
@@ -6,14 +6,14 @@
 
 from marjoramyard.coordination.placement.broker import Broker
 from marjoramyard.coordination.placement.local_placement import (
-    home_of,
+    preferred_engine,
     split_parts,
 )
 from marjoramyard.coordination.placement.requests import (
-    Ask,
-    Granted,
-    Refused,
-    Sent,
+    PlacementGrant,
+    PlacementRefusal,
+    PlacementRequest,
+    UnbrokeredRequest,
 )
 from marjoramyard.coordination.routing.config import EngineProfile
 from marjoramyard.kernel.registry import Registry
@@ -29,10 +29,10 @@
     def set_engines(self, usable) -> None:
         """Says which engines take work now."""
 
-    def ask(self, ask: Ask, now: float) -> Refused | None:
+    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
         """Takes in a request."""
 
-    def pump(self, now: float) -> list[Granted | Refused]:
+    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Decides what may be decided now."""
 
     def first_token(self, key: str, now: float) -> None:
@@ -44,10 +44,10 @@
     def cancel(self, key: str) -> None:
         """The caller of a waiting request has left."""
 
-    def adopt(self, sent: Sent, now: float) -> None:
+    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that was sent under another broker."""
 
-    def overdue(self, now: float) -> list[Refused]:
+    def overdue(self, now: float) -> list[PlacementRefusal]:
         """Refuses what waits although its caller's time is over."""
 
 
@@ -81,9 +81,9 @@
         self.engines: list[str] = []
         self.running: dict[str, int] = {}
         self.flights: dict[str, str] = {}
-        self.granted: list[Granted] = []
+        self.granted: list[PlacementGrant] = []
 
-    def choose(self, ask: Ask) -> str:
+    def choose(self, ask: PlacementRequest) -> str:
         """Returns an engine."""
         raise NotImplementedError
 
@@ -91,17 +91,17 @@
         """Says which engines take work now."""
         self.engines = sorted(usable)
 
-    def ask(self, ask: Ask, now: float) -> Refused | None:
+    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
         """Grants at once."""
         if not self.engines:
-            return Refused(ask.key, 400.0, 0.0)
+            return PlacementRefusal(ask.key, 400.0, 0.0)
         engine = self.choose(ask)
         self.flights[ask.key] = engine
         self.running[engine] = self.running.get(engine, 0) + 1
-        self.granted.append(Granted(ask.key, engine, "", ask.tokens))
+        self.granted.append(PlacementGrant(ask.key, engine, "", ask.tokens))
         return None
 
-    def pump(self, now: float) -> list[Granted | Refused]:
+    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Returns what was granted."""
         granted, self.granted = self.granted, []
         return granted
@@ -118,13 +118,13 @@
     def cancel(self, key: str) -> None:
         """Nothing waits here."""
 
-    def adopt(self, sent: Sent, now: float) -> None:
+    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that was sent under another broker."""
         self.flights[sent.key] = sent.endpoint
         running = self.running.get(sent.endpoint, 0)
         self.running[sent.endpoint] = running + 1
 
-    def overdue(self, now: float) -> list[Refused]:
+    def overdue(self, now: float) -> list[PlacementRefusal]:
         """Nothing waits here."""
         return []
 
@@ -133,7 +133,7 @@
 class RandomPolicy(ImmediatePolicy):
     """Any engine."""
 
-    def choose(self, ask: Ask) -> str:
+    def choose(self, ask: PlacementRequest) -> str:
         """Returns an engine."""
         return self.rng.choice(self.engines)
 
@@ -144,7 +144,7 @@
 
     turn = 0
 
-    def choose(self, ask: Ask) -> str:
+    def choose(self, ask: PlacementRequest) -> str:
         """Returns an engine."""
         self.turn += 1
         return self.engines[self.turn % len(self.engines)]
@@ -154,7 +154,7 @@
 class LeastConnectionsPolicy(ImmediatePolicy):
     """The engine with the fewest requests."""
 
-    def choose(self, ask: Ask) -> str:
+    def choose(self, ask: PlacementRequest) -> str:
         """Returns an engine."""
         return min(
             self.engines,
@@ -166,10 +166,10 @@
 class PrefixHashPolicy(ImmediatePolicy):
     """The home of the request's most particular shared part."""
 
-    def choose(self, ask: Ask) -> str:
+    def choose(self, ask: PlacementRequest) -> str:
         """Returns an engine."""
         key, _, _ = split_parts(ask.parts)
-        return home_of(key, self.engines)
+        return preferred_engine(key, self.engines)
 
 
 @POLICIES.register("broker")
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation.py
@@ -6,7 +6,11 @@
 
 import random
 
-from marjoramyard.coordination.placement.requests import Ask, Granted, Refused
+from marjoramyard.coordination.placement.requests import (
+    PlacementGrant,
+    PlacementRefusal,
+    PlacementRequest,
+)
 from marjoramyard.standin.experiment.credit import (
     Outcome,
     Record,
@@ -133,11 +137,11 @@
             self._tell_refusal(attempt, refused)
         self.pump()
 
-    def _to_ask(self, attempt: Attempt) -> Ask:
+    def _to_ask(self, attempt: Attempt) -> PlacementRequest:
         request = attempt.record.request
         kind = request.kind
         arrived = attempt.began_at + CALLER_MS
-        return Ask(
+        return PlacementRequest(
             key=attempt.key,
             workspace=request.workspace,
             parts=request.parts,
@@ -154,12 +158,14 @@
             attempt = self.attempts.get(told.key)
             if attempt is None or attempt.is_over:
                 self.policy.ended(told.key)
-            elif isinstance(told, Refused):
+            elif isinstance(told, PlacementRefusal):
                 self._tell_refusal(attempt, told)
             else:
                 self._send(attempt, told)
 
-    def _tell_refusal(self, attempt: Attempt, refused: Refused) -> None:
+    def _tell_refusal(
+        self, attempt: Attempt, refused: PlacementRefusal
+    ) -> None:
         self.tally.refused += 1
         attempt.is_over = True
         self.attempts.pop(attempt.key, None)
@@ -177,7 +183,7 @@
             wait = 0.0
         self.loop.after(way + wait, lambda: self._attempt(record))
 
-    def _send(self, attempt: Attempt, granted: Granted) -> None:
+    def _send(self, attempt: Attempt, granted: PlacementGrant) -> None:
         request = attempt.record.request
         engine = self.engines[granted.endpoint]
         attempt.engine = engine
