--- a/packages/coordination/src/marjoramyard/coordination/membership/health.py
+++ b/packages/coordination/src/marjoramyard/coordination/membership/health.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-FIRST_PAUSE_SECONDS = 0.3
+INITIAL_BACKOFF_SECONDS = 0.3
 """After one failure; a restart takes seconds, a reset link much less."""
-LONGEST_PAUSE_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 """The longest time until a returned endpoint is tried again."""
 
 
@@ -18,21 +18,21 @@
     """
 
     failures: int = 0
-    paused_until: float = 0.0
-    succeeded_at: float = float("-inf")
+    backoff_until: float = 0.0
+    last_success_at: float = float("-inf")
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """An answer came."""
         self.failures = 0
-        self.paused_until = 0.0
-        self.succeeded_at = now
+        self.backoff_until = 0.0
+        self.last_success_at = now
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A connection failed, broke, or brought no answer."""
         self.failures += 1
-        pause = FIRST_PAUSE_SECONDS * 2 ** min(self.failures - 1, 10)
-        self.paused_until = now + min(pause, LONGEST_PAUSE_SECONDS)
+        pause = INITIAL_BACKOFF_SECONDS * 2 ** min(self.failures - 1, 10)
+        self.backoff_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
-    def is_paused(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Whether requests should go elsewhere."""
-        return now < self.paused_until
+        return now < self.backoff_until
--- a/packages/coordination/src/marjoramyard/coordination/membership/registrations.py
+++ b/packages/coordination/src/marjoramyard/coordination/membership/registrations.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-DEPARTED_KEPT_SECONDS = 120.0
+DEPARTED_RETENTION_SECONDS = 120.0
 """How long an ended lifetime is remembered. A heartbeat held up by a
 partition arrives when that heals; the users' partitions last for minutes at
 the most, and one record takes some 200 bytes."""
@@ -48,7 +48,7 @@
     born: int = 0
 
     @property
-    def age_key(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Orders the words of one endpoint; the greatest one holds.
 
         Departed is final for a lifetime, and draining is not taken back:
@@ -65,8 +65,8 @@
     """The endpoints that one node knows of."""
 
     def __init__(self):
-        self.known: dict[str, Registration] = {}
-        self.heard_at: dict[str, float] = {}
+        self.by_endpoint: dict[str, Registration] = {}
+        self.received_at: dict[str, float] = {}
         self.by_address: dict[str, str] = {}
 
     def merge(self, word: Registration, now: float) -> bool:
@@ -76,13 +76,13 @@
             word: What an endpoint, or another node, says.
             now: Seconds on any steady clock.
         """
-        held = self.known.get(word.endpoint)
-        if held is not None and word.age_key <= held.age_key:
+        held = self.by_endpoint.get(word.endpoint)
+        if held is not None and word.precedence <= held.precedence:
             return False
         if not self._claims_address(word):
             return False
-        self.heard_at[word.endpoint] = now
-        self.known[word.endpoint] = word
+        self.received_at[word.endpoint] = now
+        self.by_endpoint[word.endpoint] = word
         return held is None or _differs(held, word)
 
     def _claims_address(self, word: Registration) -> bool:
@@ -92,51 +92,54 @@
         A heartbeat of the first that was held up on its way would bring it
         back, and requests would go to a stranger.
         """
-        holder = self.known.get(self.by_address.get(word.address, ""))
+        holder = self.by_endpoint.get(self.by_address.get(word.address, ""))
         if holder is not None and holder.endpoint != word.endpoint:
             if holder.state is not EndpointState.DEPARTED:
                 if holder.born > word.born:
                     return False
-                self.known[holder.endpoint] = msgspec.structs.replace(
+                self.by_endpoint[holder.endpoint] = msgspec.structs.replace(
                     holder, state=EndpointState.DEPARTED
                 )
         if word.state is not EndpointState.DEPARTED:
             self.by_address[word.address] = word.endpoint
         return True
 
-    def depart(self, endpoint: str, now: float) -> Registration | None:
+    def mark_departed(self, endpoint: str, now: float) -> Registration | None:
         """Ends the present lifetime of an endpoint, if it is known."""
-        held = self.known.get(endpoint)
+        held = self.by_endpoint.get(endpoint)
         if held is None or held.state is EndpointState.DEPARTED:
             return None
         gone = msgspec.structs.replace(held, state=EndpointState.DEPARTED)
         self.merge(gone, now)
         return gone
 
-    def silent_for(self, endpoint: str, now: float) -> float:
+    def seconds_since_received(self, endpoint: str, now: float) -> float:
         """Returns for how many seconds nothing was heard of an endpoint."""
-        return now - self.heard_at.get(endpoint, now)
+        return now - self.received_at.get(endpoint, now)
 
     def usable(self, service: str) -> list[Registration]:
         """Returns the endpoints of a service that take new work."""
         return [
             word
-            for word in self.known.values()
+            for word in self.by_endpoint.values()
             if word.service == service and word.state is EndpointState.READY
         ]
 
-    def words(self) -> Iterable[Registration]:
+    def all(self) -> Iterable[Registration]:
         """Returns all that is known."""
-        return self.known.values()
+        return self.by_endpoint.values()
 
-    def forget(self, now: float) -> None:
+    def expire_departed(self, now: float) -> None:
         """Drops lifetimes that ended long ago."""
-        for endpoint, word in list(self.known.items()):
+        for endpoint, word in list(self.by_endpoint.items()):
             if word.state is not EndpointState.DEPARTED:
                 continue
-            if self.silent_for(endpoint, now) > DEPARTED_KEPT_SECONDS:
-                del self.known[endpoint]
-                del self.heard_at[endpoint]
+            if (
+                self.seconds_since_received(endpoint, now)
+                > DEPARTED_RETENTION_SECONDS
+            ):
+                del self.by_endpoint[endpoint]
+                del self.received_at[endpoint]
                 if self.by_address.get(word.address) == endpoint:
                     del self.by_address[word.address]
 
--- a/packages/coordination/src/marjoramyard/coordination/routing/config.py
+++ b/packages/coordination/src/marjoramyard/coordination/routing/config.py
@@ -61,7 +61,7 @@
     resumable: bool = False
 
     @property
-    def split(self) -> tuple[Destination, ...]:
+    def weighted_destinations(self) -> tuple[Destination, ...]:
         """The destinations, also where there is only one."""
         return self.destinations or (Destination(self.service),)
 
@@ -143,13 +143,13 @@
         found = []
         for route in self.routes:
             where = f"route {route.name!r}"
-            for destination in route.split:
+            for destination in route.weighted_destinations:
                 if destination.service not in known:
                     found.append(
                         f"{where} names the unknown service "
                         f"{destination.service!r}; add it or mend the name"
                     )
-            weights = [d.weight for d in route.split]
+            weights = [d.weight for d in route.weighted_destinations]
             if sum(weights) <= 0 or min(weights) < 0:
                 found.append(f"{where}: weights must add up to more than 0")
             if route.timeout_ms <= 0:
--- a/packages/coordination/src/marjoramyard/coordination/routing/table.py
+++ b/packages/coordination/src/marjoramyard/coordination/routing/table.py
@@ -22,7 +22,7 @@
         for route in config.routes:
             host = self.routes.setdefault(route.hostname.lower(), {})
             host[route.path_prefix] = route
-        self.holders: dict[str, Workspace] = {
+        self.workspaces_by_key: dict[str, Workspace] = {
             key: workspace
             for workspace in config.workspaces or ()
             for key in workspace.api_keys
@@ -53,12 +53,12 @@
             end = path.rfind("/", 0, end) if end else -1
         return None
 
-    def holder(self, key: str) -> Workspace | None:
+    def workspace_of_key(self, key: str) -> Workspace | None:
         """Returns the workspace that a key belongs to."""
-        return self.holders.get(key)
+        return self.workspaces_by_key.get(key)
 
 
-def pick(split: tuple[Destination, ...], lot: float) -> Destination:
+def pick_destination(split: tuple[Destination, ...], lot: float) -> Destination:
     """Draws a destination by weight.
 
     Args:
--- a/packages/coordination/tests/membership/test_registrations.py
+++ b/packages/coordination/tests/membership/test_registrations.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from marjoramyard.coordination.membership.health import (
-    FIRST_PAUSE_SECONDS,
-    LONGEST_PAUSE_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    MAX_BACKOFF_SECONDS,
     EndpointHealth,
 )
 from marjoramyard.coordination.membership.registrations import (
-    DEPARTED_KEPT_SECONDS,
+    DEPARTED_RETENTION_SECONDS,
     EndpointState,
     Registration,
     Registrations,
@@ -52,7 +52,7 @@
     """
     table = Registrations()
     table.merge(make_word(sequence=7), now=0.0)
-    table.depart("i-1", now=1.0)
+    table.mark_departed("i-1", now=1.0)
     assert not table.merge(make_word(sequence=9), now=2.0)
     assert usable(table) == set()
 
@@ -60,7 +60,7 @@
 def test_a_new_lifetime_under_the_same_id_counts_from_anew():
     table = Registrations()
     table.merge(make_word(sequence=50), now=0.0)
-    table.depart("i-1", now=1.0)
+    table.mark_departed("i-1", now=1.0)
     assert table.merge(make_word(sequence=1, born=200), now=2.0)
     assert usable(table) == {"i-1"}
 
@@ -84,17 +84,17 @@
     table = Registrations()
     assert table.merge(make_word(sequence=1), now=0.0)
     assert not table.merge(make_word(sequence=2), now=3.0)
-    assert table.silent_for("i-1", now=4.0) == 1.0
+    assert table.seconds_since_received("i-1", now=4.0) == 1.0
 
 
 def test_ended_lifetimes_are_forgotten_in_the_end():
     table = Registrations()
     table.merge(make_word(), now=0.0)
-    table.depart("i-1", now=1.0)
-    table.forget(now=DEPARTED_KEPT_SECONDS / 2)
-    assert "i-1" in table.known
-    table.forget(now=2 * DEPARTED_KEPT_SECONDS)
-    assert not table.known
+    table.mark_departed("i-1", now=1.0)
+    table.expire_departed(now=DEPARTED_RETENTION_SECONDS / 2)
+    assert "i-1" in table.by_endpoint
+    table.expire_departed(now=2 * DEPARTED_RETENTION_SECONDS)
+    assert not table.by_endpoint
     assert not table.by_address
 
 
@@ -121,22 +121,24 @@
 def test_all_tables_agree_whatever_the_order(told):
     """Nodes hear the same words in different orders, some of them twice."""
     # Two words of one number differ only if a sender lies about itself.
-    one_each = {(w.endpoint, w.age_key): w for w in sorted(told[0], key=repr)}
+    one_each = {
+        (w.endpoint, w.precedence): w for w in sorted(told[0], key=repr)
+    }
     first, second = Registrations(), Registrations()
     for word in told[0]:
-        first.merge(one_each[word.endpoint, word.age_key], now=0.0)
+        first.merge(one_each[word.endpoint, word.precedence], now=0.0)
     for word in [*told[1], *told[0]]:
-        second.merge(one_each[word.endpoint, word.age_key], now=0.0)
-    assert first.known == second.known
+        second.merge(one_each[word.endpoint, word.precedence], now=0.0)
+    assert first.by_endpoint == second.by_endpoint
 
 
 def test_pauses_grow_and_end_with_a_success():
     health = EndpointHealth()
-    health.failed(now=0.0)
-    assert health.is_paused(FIRST_PAUSE_SECONDS / 2)
-    assert not health.is_paused(FIRST_PAUSE_SECONDS)
+    health.record_failure(now=0.0)
+    assert health.is_backing_off(INITIAL_BACKOFF_SECONDS / 2)
+    assert not health.is_backing_off(INITIAL_BACKOFF_SECONDS)
     for _ in range(10):
-        health.failed(now=1.0)
-    assert not health.is_paused(1.0 + LONGEST_PAUSE_SECONDS)
-    health.succeeded(now=1.1)
-    assert not health.is_paused(1.1)
+        health.record_failure(now=1.0)
+    assert not health.is_backing_off(1.0 + MAX_BACKOFF_SECONDS)
+    health.record_success(now=1.1)
+    assert not health.is_backing_off(1.1)
--- a/packages/coordination/tests/routing/test_config.py
+++ b/packages/coordination/tests/routing/test_config.py
@@ -17,7 +17,7 @@
     PromptPart,
     RouteTable,
     parse_prompt_parts,
-    pick,
+    pick_destination,
 )
 
 
@@ -97,7 +97,7 @@
 )
 def test_a_destination_without_weight_is_never_picked(weights, lot):
     split = tuple(Destination(str(i), w) for i, w in enumerate(weights))
-    assert pick(split, lot).weight > 0
+    assert pick_destination(split, lot).weight > 0
 
 
 def test_prompt_parts_end_where_they_can_t_be_read():
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -77,7 +77,7 @@
 
     def depart(self, endpoint: str) -> None:
         """Takes in that an endpoint has left."""
-        gone = self.table.depart(endpoint, time.monotonic())
+        gone = self.table.mark_departed(endpoint, time.monotonic())
         if gone is not None:
             self._mark(gone)
             for queue in self.unsent.values():
@@ -114,7 +114,7 @@
         queue = self.unsent.get(peer)
         self.unsent[peer] = {}
         if queue is None:
-            return list(self.table.words())
+            return list(self.table.all())
         return list(queue.values())
 
     def words_lost(self, peer: str) -> None:
@@ -127,12 +127,13 @@
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
             now = time.monotonic()
-            self.table.forget(now)
+            self.table.expire_departed(now)
             silent = {
                 word.endpoint
-                for word in self.table.words()
+                for word in self.table.all()
                 if word.state is not EndpointState.DEPARTED
-                and self.table.silent_for(word.endpoint, now) > limit
+                and self.table.seconds_since_received(word.endpoint, now)
+                > limit
             }
             if silent != self.silent:
                 logger.info("endpoints_silent", endpoints=sorted(silent))
@@ -277,7 +278,7 @@
             newest if version > asked.version else None,
             [
                 word
-                for word in self.table.words()
+                for word in self.table.all()
                 if self.changed_at.get(word.endpoint, 0) > after
             ],
             sorted(self.silent),
--- a/packages/fleet/src/marjoramyard/fleet/gateway/admitting.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/admitting.py
@@ -149,7 +149,7 @@
     if route.open_access or not table.needs_keys:
         return "", None
     key = request.headers.get(names.api_key, "")
-    workspace = table.holder(key)
+    workspace = table.workspace_of_key(key)
     if workspace is None:
         raise_failure(
             Kind.UNKNOWN_KEY if key else Kind.MISSING_KEY,
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
@@ -164,7 +164,7 @@
     def _ended(self, broker: Broker, key: str, told: Ended) -> None:
         flight = broker.flights.get(key)
         if flight is not None and told.failed:
-            self.view.health_of(flight.engine).failed(time.monotonic())
+            self.view.health_of(flight.engine).record_failure(time.monotonic())
         broker.ended(key)
 
     def _ask(self, peer: Peer, told: AskPlace) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
@@ -142,7 +142,7 @@
         self.tools.metrics.count("placements", by=by.value)
 
     def _plan_granted(self, told: GrantPlace, number: int) -> SendPlan:
-        known = self.view.registrations.known
+        known = self.view.registrations.by_endpoint
         word = known.get(told.endpoint)
         if word is None or word.state is not EndpointState.READY:
             # The broker has not heard yet that it leaves. The request goes
@@ -178,7 +178,7 @@
         """
         if self.caller.workspace is None:
             return
-        held = self.view.table.holder(self.caller.keyed_by)
+        held = self.view.table.workspace_of_key(self.caller.keyed_by)
         if held is None or not self.view.lease_holds():
             kind = Kind.UNKNOWN_KEY if held is None else Kind.NO_LEASE
             if self.may_have_run:
@@ -251,7 +251,7 @@
                         SendOutcome.BROKEN, f"status {answer.status}"
                     )
                 response = await self.delivery.take(answer, flight.read)
-        self.view.health_of(endpoint).succeeded(time.monotonic())
+        self.view.health_of(endpoint).record_success(time.monotonic())
         return response
 
     @contextmanager
@@ -315,7 +315,7 @@
             self.may_have_run = self.had_run
         if error.outcome is SendOutcome.NOT_SENT:
             if self._is_endpoints_fault(error):
-                health.failed(now)
+                health.record_failure(now)
             self.connects += 1
             if self.connects < MAX_CONNECT_TRIES:
                 return
@@ -323,7 +323,7 @@
         self.sends += 1
         if error.outcome is SendOutcome.BROKEN:
             if not error.why.startswith("status"):
-                health.failed(now)
+                health.record_failure(now)
             if not self.caller.may_repeat:
                 raise FleetError(self._lost(error))
         if self.sends >= self.caller.route.max_attempts:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/serving.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/serving.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from marjoramyard.coordination.routing.config import Route
-from marjoramyard.coordination.routing.table import pick
+from marjoramyard.coordination.routing.table import pick_destination
 from marjoramyard.coordination.serving.retries import RetryBudget
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.gateway.admitting import (
@@ -120,7 +120,7 @@
         name = ""
         if table.needs_keys and not route.open_access:
             key = head.header(self.names.api_key.lower().encode())
-            workspace = table.holder(key)
+            workspace = table.workspace_of_key(key)
             if workspace is None:
                 return None
             name = workspace.name
@@ -134,7 +134,7 @@
         services = self.view.table.services
         return any(
             services[destination.service].engine is not None
-            for destination in route.split
+            for destination in route.weighted_destinations
         )
 
     def _within_limit(self, claim: Claim) -> AbstractContextManager[None]:
@@ -232,7 +232,9 @@
     async def _serve(
         self, caller: CallerRequest, delivery: Delivery, story: Story
     ) -> web.StreamResponse:
-        destination = pick(caller.route.split, random.random())
+        destination = pick_destination(
+            caller.route.weighted_destinations, random.random()
+        )
         budget = self._budget(destination.service)
         budget.on_request()
         service = self.view.table.services[destination.service]
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -107,7 +107,7 @@
             listener()
 
     def _merge(self, word: Registration, now: float) -> None:
-        held = self.registrations.known.get(word.endpoint)
+        held = self.registrations.by_endpoint.get(word.endpoint)
         if not self.registrations.merge(word, now):
             return
         if held is None or held.born != word.born:
@@ -150,15 +150,15 @@
 
     def _is_sound(self, word: Registration, now: float) -> bool:
         health = self.health_of(word.endpoint)
-        if health.is_paused(now):
+        if health.is_backing_off(now):
             return False
-        if now - health.succeeded_at < RECENT_SUCCESS_SECONDS:
+        if now - health.last_success_at < RECENT_SUCCESS_SECONDS:
             return True
         return not self.is_silent(word.endpoint, now)
 
     def still_ready(self, word: Registration) -> bool:
         """Whether a chosen endpoint may still get new work."""
-        held = self.registrations.known.get(word.endpoint)
+        held = self.registrations.by_endpoint.get(word.endpoint)
         return (
             held is not None
             and held.state is EndpointState.READY
--- a/packages/fleet/tests/gateway/test_runs.py
+++ b/packages/fleet/tests/gateway/test_runs.py
@@ -90,4 +90,4 @@
         await run.to_end()
     assert caught.value.failure.kind is Kind.NO_ENDPOINT
     health = view.health_of("e0")
-    assert health.is_paused(time.monotonic()) is not is_late
+    assert health.is_backing_off(time.monotonic()) is not is_late
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -140,7 +140,7 @@
     config = read_configuration(json.dumps(CONFIG).encode()).ok_value
     (route,) = config.routes
     assert route.request_kind is RequestKind.STREAM
-    assert route.split[0].service == "huvo11a"
+    assert route.weighted_destinations[0].service == "huvo11a"
     assert route.may_repeat
     assert config.services[0].engine.memory_tokens == 235664
     assert config.workspaces[0].api_keys == ("k1",)
