--- a/packages/fleet/src/marjoramyard/fleet/agent/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -12,7 +12,7 @@
 from marjoramyard.fleet.agent.attempts import Attempt, AttemptState
 from marjoramyard.fleet.agent.calls import finish_call, start_call
 from marjoramyard.fleet.agent.endpoint import Endpoint
-from marjoramyard.fleet.agent.slots import Slots
+from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.membership import Membership
@@ -44,7 +44,7 @@
 _TOMBSTONES = 20_000
 
 
-class Runs:
+class AttemptService:
     """All attempts on this agent's endpoint."""
 
     def __init__(
@@ -53,7 +53,7 @@
         membership: Membership,
         control: ControlClient,
         endpoint: Endpoint,
-        slots: Slots,
+        slots: SlotAllocator,
     ):
         self.app = app
         self.membership = membership
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -128,9 +128,9 @@
                 timeout=timeout,
                 allow_redirects=False,
             )
-            self._begin_answer(self.upstream)
-            await self._take_answer(session)
-            return self._check_whole()
+            self._begin_response(self.upstream)
+            await self._read_response(session)
+            return self._check_complete()
         except aiohttp.ClientConnectorError:
             self.state = AttemptState.ADMITTED
             return failure(
@@ -151,9 +151,9 @@
         finally:
             # A connection with an answer half read must never carry the
             # next request: the rest would be taken for its answer.
-            self._leave_upstream()
+            self._release_upstream()
 
-    def _begin_answer(self, response: aiohttp.ClientResponse) -> None:
+    def _begin_response(self, response: aiohttp.ClientResponse) -> None:
         self.status = response.status
         self.headers = end_to_end(list(response.headers.items()))
         self.tail.begin(self.status, self.headers)
@@ -162,20 +162,20 @@
             self.resume_path = response.headers.get("Content-Location", "")
             self.progress.set()
 
-    def _leave_upstream(self) -> None:
+    def _release_upstream(self) -> None:
         response = self.upstream
         if response is not None and not response.content.at_eof():
             response.close()
         elif response is not None:
             response.release()
 
-    async def _take_answer(self, session: aiohttp.ClientSession) -> None:
+    async def _read_response(self, session: aiohttp.ClientSession) -> None:
         """Takes the answer; a broken stream is resumed if it can be."""
         tries = 0
         while True:
             before = self.events.last_id if self.events else ""
             try:
-                await self._take_chunks(self.upstream)
+                await self._read_chunks(self.upstream)
                 return
             except aiohttp.ClientPayloadError:
                 # Progress in between makes it a new break, not the same.
@@ -186,7 +186,7 @@
                 self.upstream.close()
                 self.upstream = await self._resume(session)
 
-    async def _take_chunks(self, response: aiohttp.ClientResponse) -> None:
+    async def _read_chunks(self, response: aiohttp.ClientResponse) -> None:
         async for chunk in response.content.iter_any():
             if self.events is not None:
                 chunk = self.events.feed(chunk)
@@ -246,7 +246,7 @@
         if amount > 0:
             self.scheduler.charge(self.workspace, amount)
 
-    def _check_whole(self) -> Failure | None:
+    def _check_complete(self) -> Failure | None:
         """Finds a stream that ended early although its connection did not.
 
         An engine that gives up mid-answer may close the body in order; only
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -23,7 +23,7 @@
     def __init__(self, max_slots: int):
         self.max_slots = max_slots
         self.announced: Announcement | None = None
-        self.heard_at = float("-inf")
+        self.last_announced_at = float("-inf")
         self.dead_incarnation = ""
         self.slots = SlotLimit(1)
         self.prefixes = PrefixHistory()
@@ -37,7 +37,7 @@
             self.slots = SlotLimit(self._capped(word.slots))
             logger.info("endpoint_announced", name=word.name, state=word.state)
         self.announced = word
-        self.heard_at = time.monotonic()
+        self.last_announced_at = time.monotonic()
         self.slots.announce(self._capped(word.slots))
         if word.event_number >= 0:
             self.prefixes.evicted(word.event_number, word.evicted)
@@ -54,7 +54,7 @@
             return False
         if word.incarnation == self.dead_incarnation:
             return False
-        return time.monotonic() - self.heard_at < SILENCE_SECONDS
+        return time.monotonic() - self.last_announced_at < SILENCE_SECONDS
 
     def mark_dead(self) -> str:
         """Notes that this life of the endpoint ended; returns its id."""
--- a/packages/fleet/src/marjoramyard/fleet/agent/orders.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/orders.py
@@ -16,7 +16,7 @@
 _RETRY_SECONDS = 1.0
 
 
-class Orders:
+class OrderForwarder:
     """Applies the newest order to the endpoint."""
 
     def __init__(self, app: Application, endpoint: Endpoint):
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -7,10 +7,10 @@
 from aiohttp import web
 
 from marjoramyard.coordination.governance.directory import DirectoryRow
+from marjoramyard.fleet.agent.attempt_service import AttemptService
 from marjoramyard.fleet.agent.endpoint import Endpoint
-from marjoramyard.fleet.agent.orders import Orders
-from marjoramyard.fleet.agent.runs import Runs
-from marjoramyard.fleet.agent.slots import Slots
+from marjoramyard.fleet.agent.orders import OrderForwarder
+from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.membership import Membership
 from marjoramyard.fleet.messages import Announcement, Empty
@@ -34,13 +34,13 @@
         self.membership = Membership(
             self.control, app.metrics, self.row, keeps_keys=False
         )
-        self.slots = Slots(
+        self.slots = SlotAllocator(
             app, self.membership, self.endpoint, lambda: self.leaving
         )
-        self.runs = Runs(
+        self.runs = AttemptService(
             app, self.membership, self.control, self.endpoint, self.slots
         )
-        self.orders = Orders(app, self.endpoint)
+        self.orders = OrderForwarder(app, self.endpoint)
         self.membership.on_order.append(self.orders.learn)
 
     def row(self) -> DirectoryRow:
@@ -92,12 +92,12 @@
         if self.endpoint.announce(word):
             self.orders.wake.set()
             self.membership.announce_soon()
-        self.slots.pump()
+        self.slots.grant_free_slots()
         return json_response(Empty())
 
     def is_ready(self) -> bool:
         """Returns whether new work may start here."""
-        return self.slots.may_take_work()
+        return self.slots.accepts_work()
 
     async def drain(self) -> None:
         """Takes no new work, and waits for all attempts and their readers.
--- a/packages/fleet/src/marjoramyard/fleet/agent/slots.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -45,10 +45,10 @@
     """A slot that is kept for one entry's request."""
 
     choice: Choice
-    lapses_at: float
+    expires_at: float
 
 
-class Slots:
+class SlotAllocator:
     """Gives the endpoint's free slots to whom they are owed.
 
     A slot is running, granted or free. Grants go out one for each free
@@ -77,7 +77,7 @@
         )
         self.links: dict[str, TotalsLink] = {}
         self.addresses: dict[str, str] = {}
-        self.told_busy: set[str] = set()
+        self.reported_busy_to: set[str] = set()
         self.grants: dict[str, Grant] = {}
         self.running = 0
         self.busy_seconds = 0.0
@@ -94,7 +94,7 @@
         policy = self.membership.bundle.policy
         self.scheduler.policy = policy.fairness()
         self.totals.step = policy.totals_step
-        self.pump()
+        self.grant_free_slots()
 
     def _watch(self) -> None:
         metrics = self.app.metrics
@@ -136,7 +136,7 @@
         possible = self.busy_seconds + self.idle_while_waiting
         return self.busy_seconds / possible if possible else 1.0
 
-    def may_take_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Returns whether new work may start here at all."""
         return (
             self.endpoint.is_ready
@@ -170,9 +170,9 @@
                 self.scheduler.offer(entry, message.rows)
         if message.leaving:
             self.forget(entry)
-        self.pump()
+        self.grant_free_slots()
         if self.free == 0:
-            self.told_busy.add(entry)
+            self.reported_busy_to.add(entry)
         totals = link.outgoing() if message.totals is not None else None
         return OfferReply(
             self.free, len(self.addresses), totals, self.is_leaving()
@@ -182,7 +182,7 @@
         """Forgets an entry that left or fell silent."""
         self.links.pop(entry, None)
         self.addresses.pop(entry, None)
-        self.told_busy.discard(entry)
+        self.reported_busy_to.discard(entry)
 
     async def maintain(self) -> None:
         """Expires silent entries and lapsed grants until cancelled."""
@@ -194,28 +194,28 @@
                 self.forget(entry)
                 logger.info("entry_silent", entry=entry)
             for name, grant in list(self.grants.items()):
-                if grant.lapses_at < now:
+                if grant.expires_at < now:
                     del self.grants[name]
                     self.app.metrics.count("grants", outcome="lapsed")
             self.scheduler.write_off_credit()
-            self.pump()
+            self.grant_free_slots()
 
     # Grants.
 
-    def pump(self) -> None:
+    def grant_free_slots(self) -> None:
         """Grants every free slot to the workspace that it is owed."""
-        while self.free > 0 and self.may_take_work():
+        while self.free > 0 and self.accepts_work():
             choice = self.scheduler.next(self.endpoint.prefixes.is_warm)
             if choice is None:
-                self._tell_free()
+                self._notify_free()
                 return
             self.scheduler.taken(choice)
             name = secrets.token_hex(6)
-            lapses_at = time.monotonic() + 2 * _GRANT_SECONDS
-            self.grants[name] = Grant(choice, lapses_at)
+            expires_at = time.monotonic() + 2 * _GRANT_SECONDS
+            self.grants[name] = Grant(choice, expires_at)
             self.app.tasks.spawn(self._grant(name, choice))
 
-    def _tell_free(self) -> None:
+    def _notify_free(self) -> None:
         """Corrects entries that believe us busy.
 
         They tell busy agents of a new backlog only with the next refresh;
@@ -223,14 +223,14 @@
         """
         service = self.endpoint.announced.service
         message = FreeMessage(self.app.incarnation, service, self.free)
-        for entry in self.told_busy:
+        for entry in self.reported_busy_to:
             address = self.addresses.get(entry, "")
             self.app.tasks.spawn(
                 self.app.client.call(
                     address, FREE_PATH, message, Empty, _GRANT_SECONDS
                 )
             )
-        self.told_busy.clear()
+        self.reported_busy_to.clear()
 
     async def _grant(self, name: str, choice: Choice) -> None:
         address = self.addresses.get(choice.entry)
@@ -253,17 +253,17 @@
             self._account()
             self.grants.pop(name, None)
             self.scheduler.unused(choice)
-            self.pump()
+            self.grant_free_slots()
 
     def _on_taken(self, name: str, choice: Choice, reply: GrantReply) -> None:
         if name in self.grants:
-            self.grants[name].lapses_at = time.monotonic() + _USE_SECONDS
+            self.grants[name].expires_at = time.monotonic() + _USE_SECONDS
         if reply.left and choice.entry in self.scheduler.entries:
             # The offer may be older than what has come since; without this
             # the next slot would wait for a refresh beside a full queue.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
             self.scheduler.offer(choice.entry, [row])
-            self.pump()
+            self.grant_free_slots()
 
     # Runs.
 
@@ -293,4 +293,4 @@
         """Gives a run's slot back."""
         self._account()
         self.running -= 1
-        self.pump()
+        self.grant_free_slots()
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -67,7 +67,7 @@
         """
         refusal = self.membership.refusal()
         if refusal is not None:
-            raise FleetError(_told_of_call(request, refusal))
+            raise FleetError(_refusal_for_call(request, refusal))
         _check_headers(request, self.max_header_bytes)
         workspace_id = self._workspace(request)
         body = await self._read_body(request)
@@ -214,7 +214,7 @@
             )
 
 
-def _told_of_call(request: web.Request, refusal: Failure) -> Failure:
+def _refusal_for_call(request: web.Request, refusal: Failure) -> Failure:
     """Returns what a refusal without a lease says of a keyed call.
 
     An earlier try under the key may have run through another entry, and only
--- a/packages/fleet/src/marjoramyard/fleet/entry/links.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -58,7 +58,7 @@
         self.failure = reason
 
 
-class AttemptLink:
+class AttemptClient:
     """Reads one attempt's frames from its agent.
 
     The link is this attempt's own: an answer can only reach the request
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -13,8 +13,8 @@
     StoredAnswer,
     verdict,
 )
-from marjoramyard.fleet.entry.answers import OUTCOME_HEADER
 from marjoramyard.fleet.entry.requests import CallerRequest
+from marjoramyard.fleet.entry.responses import OUTCOME_HEADER
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.headers import copy_headers
 from marjoramyard.kernel.errors import (
@@ -32,7 +32,7 @@
 REPLAY_HEADER = "X-Marjoramyard-Replayed"
 
 
-class Calls:
+class CallLedgerClient:
     """Asks the ledger before a call is placed, and when it is given up."""
 
     def __init__(self, control: ControlClient):
@@ -68,7 +68,7 @@
         ticket.epoch = view.epoch
         return None
 
-    async def give_up(
+    async def cancel_unstarted(
         self, request: CallerRequest, attempt: AttemptId
     ) -> Outcome:
         """Rules an attempt out if it has not started; returns the verdict.
--- a/packages/fleet/src/marjoramyard/fleet/entry/desks.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -36,7 +36,7 @@
 """Backlogs that begin together are told together."""
 _DIRECT_TRIES = 2
 _BUSY_TOLD = 2
-_SCOUT_TURNS = 1000
+_OUTSIDE_AGENT_ENTRIES = 1000
 _RATE_MEMORY = 0.1
 _PASS_OVER_SECONDS = 2.0
 _MAX_RETRY_AFTER = 60.0
@@ -50,24 +50,24 @@
 
 
 class AgentView:
-    """What a desk knows of one agent."""
+    """What a dispatcher knows of one agent."""
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
         self.link = TotalsLink(totals)
         self.in_flight = 0
         self.sequence = 0
-        self.told: set[WorkspaceId] = set()
+        self.offered: set[WorkspaceId] = set()
         self.free = row.slots
         self.entries = 1
         self.sending = False
         self.pending = False
-        self.wants_whole = False
-        self.last_told = 0.0
-        self.passed_over_until = 0.0
+        self.needs_full_offer = False
+        self.last_full_offer_at = 0.0
+        self.backoff_until = 0.0
 
 
-class Desk:
+class ServiceDispatcher:
     """One service at one entry."""
 
     def __init__(self, app: Application, service: ServiceId):
@@ -76,10 +76,10 @@
         self.queue = ServiceQueue()
         self.totals = Totals(app.settings.name, app.incarnation)
         self.agents: dict[str, AgentView] = {}
-        self.outside: list[DirectoryRow] = []
+        self.other_agents: list[DirectoryRow] = []
         self.flush_scheduled = False
-        self.taken_rate = 0.0
-        self.last_taken_at = time.monotonic()
+        self.dequeue_rate = 0.0
+        self.last_dequeued_at = time.monotonic()
 
     # Agents.
 
@@ -87,7 +87,7 @@
         self, rows: list[DirectoryRow], outside: list[DirectoryRow]
     ) -> None:
         """Takes in the agents that this entry uses, and all others."""
-        self.outside = [row for row in outside if row.state == "ready"]
+        self.other_agents = [row for row in outside if row.state == "ready"]
         wanted = {row.incarnation: row for row in rows}
         for gone in self.agents.keys() - wanted.keys():
             del self.agents[gone]
@@ -106,14 +106,14 @@
         return [
             view
             for view in self.agents.values()
-            if view.row.state == "ready" and view.passed_over_until <= now
+            if view.row.state == "ready" and view.backoff_until <= now
         ]
 
-    def pass_over(self, address: str) -> None:
+    def back_off(self, address: str) -> None:
         """Leaves an agent alone for a while after it gave no answer."""
         for view in self.agents.values():
             if view.row.address == address:
-                view.passed_over_until = time.monotonic() + _PASS_OVER_SECONDS
+                view.backoff_until = time.monotonic() + _PASS_OVER_SECONDS
 
     def direct_candidates(self) -> list[Placement]:
         """Picks agents for a direct run, while nothing waits here.
@@ -168,7 +168,7 @@
             ) from None
         finally:
             self.queue.remove(item)
-            self._note_emptied(item.workspace)
+            self._clear_offered_if_empty(item.workspace)
 
     def _check_limits(self, request: CallerRequest) -> None:
         queue = self.queue.workspaces.get(request.workspace_id)
@@ -189,7 +189,7 @@
     def retry_after(self) -> float:
         """Estimates when a new request would get its turn, with jitter."""
         waiting = self.queue.count()
-        seconds = waiting / self.taken_rate if self.taken_rate > 0 else 2.0
+        seconds = waiting / self.dequeue_rate if self.dequeue_rate > 0 else 2.0
         seconds = min(_MAX_RETRY_AFTER, max(1.0, seconds))
         return seconds * random.uniform(1.0, 1.3)
 
@@ -199,22 +199,22 @@
         workspace = WorkspaceId(message.workspace)
         item = self.queue.take(workspace, now)
         if item is None or item.payload.done():
-            self._note_emptied(workspace)
+            self._clear_offered_if_empty(workspace)
             return GrantReply(False)
-        self._note_taken(now)
+        self._update_dequeue_rate(now)
         item.payload.set_result(Placement(message.address, message.grant))
-        self._note_emptied(workspace)
+        self._clear_offered_if_empty(workspace)
         queue = self.queue.workspaces.get(workspace)
         head = queue.head(now) if queue is not None else None
         if head is None:
             return GrantReply(True)
         return GrantReply(True, queue.count, head.prefix)
 
-    def _note_emptied(self, workspace: WorkspaceId) -> None:
+    def _clear_offered_if_empty(self, workspace: WorkspaceId) -> None:
         """Has a backlog that begins again told again."""
         if workspace not in self.queue.workspaces:
             for view in self.agents.values():
-                view.told.discard(workspace)
+                view.offered.discard(workspace)
 
     def on_free(self, message: FreeMessage) -> None:
         """Notes that an agent is busy no more, and tells it what waits."""
@@ -223,12 +223,12 @@
             return
         view.free = message.free
         if self.queue.workspaces:
-            self._tell(view)
+            self._send_offer(view)
 
-    def _note_taken(self, now: float) -> None:
-        gap = max(now - self.last_taken_at, 1e-4)
-        self.last_taken_at = now
-        self.taken_rate += _RATE_MEMORY * (1.0 / gap - self.taken_rate)
+    def _update_dequeue_rate(self, now: float) -> None:
+        gap = max(now - self.last_dequeued_at, 1e-4)
+        self.last_dequeued_at = now
+        self.dequeue_rate += _RATE_MEMORY * (1.0 / gap - self.dequeue_rate)
 
     # Offers.
 
@@ -250,39 +250,39 @@
         self.flush_scheduled = False
         self.queue.changed.clear()
         waiting = set(self.queue.workspaces)
-        lacking = [v for v in self.ready_agents() if waiting - v.told]
+        lacking = [v for v in self.ready_agents() if waiting - v.offered]
         busy = [view for view in lacking if view.free == 0]
         picked = random.sample(busy, min(_BUSY_TOLD, len(busy)))
         for view in lacking:
             if view.free > 0 or view in picked:
-                self._tell(view)
+                self._send_offer(view)
 
     def refresh(self, older_than: float) -> None:
         """Repeats the whole backlog to agents not told for a while."""
         now = time.monotonic()
         for view in self.ready_agents():
-            stale = view.last_told + older_than <= now
-            if stale and (self.queue.workspaces or view.told):
-                self._tell(view, whole=True)
-        self._scout()
+            stale = view.last_full_offer_at + older_than <= now
+            if stale and (self.queue.workspaces or view.offered):
+                self._send_offer(view, whole=True)
+        self._offer_outside_subset()
 
-    def _scout(self) -> None:
+    def _offer_outside_subset(self) -> None:
         """Tells one agent outside our subset, while requests wait.
 
         Without it an idle agent whose own entries have nothing would never
         hear of work elsewhere; with it, it has a grant to give within a few
         refreshes, whatever the subsets are.
         """
-        if self.queue.workspaces and self.outside:
-            row = random.choice(self.outside)
+        if self.queue.workspaces and self.other_agents:
+            row = random.choice(self.other_agents)
             view = AgentView(row, self.totals)
             # It has its totals from the entries that work with it.
             view.link.peer = row.incarnation
-            view.entries = _SCOUT_TURNS
-            self._tell(view, whole=True)
+            view.entries = _OUTSIDE_AGENT_ENTRIES
+            self._send_offer(view, whole=True)
 
-    def _tell(self, view: AgentView, whole: bool = False) -> None:
-        view.wants_whole = view.wants_whole or whole
+    def _send_offer(self, view: AgentView, whole: bool = False) -> None:
+        view.needs_full_offer = view.needs_full_offer or whole
         view.pending = True
         if not view.sending:
             view.sending = True
@@ -309,16 +309,16 @@
 
     async def _send_once(self, view: AgentView) -> None:
         # A new agent has no memory: it gets everybody's totals first.
-        whole = view.wants_whole or not view.link.peer
-        view.wants_whole = False
-        rows = self._rows(set() if whole else view.told)
+        whole = view.needs_full_offer or not view.link.peer
+        view.needs_full_offer = False
+        rows = self._rows(set() if whole else view.offered)
         if not rows and not whole:
             return
         told = {row.workspace for row in rows}
-        view.told = told if whole else view.told | told
+        view.offered = told if whole else view.offered | told
         view.sequence += 1
         if whole:
-            view.last_told = time.monotonic()
+            view.last_full_offer_at = time.monotonic()
         message = OfferMessage(
             self.app.incarnation,
             self.app.settings.reachable,
@@ -334,10 +334,10 @@
         )
         if isinstance(reply, Err):
             self.app.metrics.count("offers_failed")
-            view.told = set()
-            self.pass_over(view.row.address)
+            view.offered = set()
+            self.back_off(view.row.address)
             return
-        self._hear(view, reply.ok_value)
+        self._on_reply(view, reply.ok_value)
 
     def _totals_for(self, view: AgentView) -> TotalsDelta:
         """Returns the totals that go with a whole backlog.
@@ -352,7 +352,7 @@
             return view.link.outgoing()
         return view.link.outgoing(limit=0)
 
-    def _hear(self, view: AgentView, reply: OfferReply) -> None:
+    def _on_reply(self, view: AgentView, reply: OfferReply) -> None:
         view.free = reply.free
         view.entries = reply.entries
         if reply.totals is not None:
@@ -361,19 +361,19 @@
             view.row = msgspec.structs.replace(view.row, state="leaving")
 
 
-class Desks:
-    """All services' desks of one entry."""
+class Dispatchers:
+    """All services' dispatchers of one entry."""
 
     def __init__(self, app: Application):
         self.app = app
-        self.desks: dict[ServiceId, Desk] = {}
+        self.dispatchers: dict[ServiceId, ServiceDispatcher] = {}
         app.metrics.gauge("waiting_requests", self._waiting)
         app.metrics.gauge("known_agents", self._known)
 
     def _waiting(self) -> list[tuple[float, dict[str, str]]]:
         return [
-            (desk.queue.count(), {"service": name})
-            for name, desk in self.desks.items()
+            (dispatcher.queue.count(), {"service": name})
+            for name, dispatcher in self.dispatchers.items()
         ]
 
     def _known(self) -> list[tuple[float, dict[str, str]]]:
@@ -386,20 +386,20 @@
                     "state": view.row.state,
                 },
             )
-            for name, desk in self.desks.items()
-            for view in desk.agents.values()
+            for name, dispatcher in self.dispatchers.items()
+            for view in dispatcher.agents.values()
         ]
 
-    def get(self, service: ServiceId) -> Desk:
-        """Returns a service's desk."""
-        if service not in self.desks:
-            self.desks[service] = Desk(self.app, service)
-        return self.desks[service]
+    def get(self, service: ServiceId) -> ServiceDispatcher:
+        """Returns a service's dispatcher."""
+        if service not in self.dispatchers:
+            self.dispatchers[service] = ServiceDispatcher(self.app, service)
+        return self.dispatchers[service]
 
     def set_agents(self, rows: list[DirectoryRow]) -> None:
         """Sorts the directory's agents by service."""
         by_service: dict[ServiceId, list[DirectoryRow]] = {
-            name: [] for name in self.desks
+            name: [] for name in self.dispatchers
         }
         for row in rows:
             by_service.setdefault(ServiceId(row.service), []).append(row)
@@ -434,5 +434,5 @@
         period = self.app.settings.offer_seconds
         while True:
             await asyncio.sleep(period / 4)
-            for desk in self.desks.values():
-                desk.refresh(period)
+            for dispatcher in self.dispatchers.values():
+                dispatcher.refresh(period)
--- a/packages/fleet/src/marjoramyard/fleet/entry/serving.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -10,19 +10,23 @@
 
 from marjoramyard.coordination.serving.retries import RetryBudget
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.entry.answers import (
-    AnswerFailedError,
-    CallerStalledError,
-    Delivery,
-)
-from marjoramyard.fleet.entry.calls import Calls
-from marjoramyard.fleet.entry.desks import Desk, Desks, Placement
-from marjoramyard.fleet.entry.links import (
-    AttemptLink,
+from marjoramyard.fleet.entry.attempt_client import (
+    AttemptClient,
     AttemptLostError,
     AttemptRefusedError,
 )
+from marjoramyard.fleet.entry.calls import CallLedgerClient
+from marjoramyard.fleet.entry.dispatchers import (
+    Dispatchers,
+    Placement,
+    ServiceDispatcher,
+)
 from marjoramyard.fleet.entry.requests import CallerRequest
+from marjoramyard.fleet.entry.responses import (
+    CallerStalledError,
+    ResponseDelivery,
+    ResponseFailedError,
+)
 from marjoramyard.fleet.membership import Membership
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.refusals import quarantined
@@ -45,7 +49,7 @@
 )
 
 
-class Budgets:
+class RetryBudgets:
     """Retry budgets of each workspace and each service."""
 
     def __init__(self, membership: Membership):
@@ -84,7 +88,7 @@
         return True
 
 
-class Serving:
+class RequestHandler:
     """What the entry does with an admitted request."""
 
     def __init__(
@@ -92,14 +96,14 @@
         app: Application,
         membership: Membership,
         control: ControlClient,
-        desks: Desks,
+        dispatchers: Dispatchers,
     ):
         self.app = app
         self.membership = membership
         self.control = control
-        self.desks = desks
-        self.calls = Calls(control)
-        self.budgets = Budgets(membership)
+        self.dispatchers = dispatchers
+        self.calls = CallLedgerClient(control)
+        self.budgets = RetryBudgets(membership)
 
     async def serve(self, request: CallerRequest) -> web.StreamResponse:
         """Returns the caller's answer.
@@ -115,40 +119,45 @@
             if replay is not None:
                 return replay
         self.budgets.on_request(request)
-        desk = self.desks.get(request.service_id)
-        response = await self._try_directly(request, desk)
+        dispatcher = self.dispatchers.get(request.service_id)
+        response = await self._try_directly(request, dispatcher)
         first = False
         while response is None:
-            if not desk.agents:
+            if not dispatcher.agents:
                 raise FleetError(_no_endpoint(request))
-            placement = await desk.wait(request, first)
-            response = await self._attempt(request, desk, placement)
+            placement = await dispatcher.wait(request, first)
+            response = await self._attempt(request, dispatcher, placement)
             first = True
         return response
 
     async def _try_directly(
-        self, request: CallerRequest, desk: Desk
+        self, request: CallerRequest, dispatcher: ServiceDispatcher
     ) -> web.StreamResponse | None:
-        for placement in desk.direct_candidates():
-            response = await self._attempt(request, desk, placement)
+        for placement in dispatcher.direct_candidates():
+            response = await self._attempt(request, dispatcher, placement)
             if response is not None:
                 return response
         return None
 
     async def _attempt(
-        self, request: CallerRequest, desk: Desk, placement: Placement
+        self,
+        request: CallerRequest,
+        dispatcher: ServiceDispatcher,
+        placement: Placement,
     ) -> web.StreamResponse | None:
         """Makes one attempt; None means that another may be made."""
-        self._check_may_run(request, desk)
-        link = AttemptLink(
+        self._check_may_run(request, dispatcher)
+        link = AttemptClient(
             self.app.client,
             self.app.metrics,
             placement.address,
             self._run_request(request, placement),
             request.body,
         )
-        delivery = Delivery(request, self.app.settings.caller_stall_seconds)
-        desk.count_run(placement.address, 1)
+        delivery = ResponseDelivery(
+            request, self.app.settings.caller_stall_seconds
+        )
+        dispatcher.count_run(placement.address, 1)
         try:
             async with aclosing(link.frames()) as frames:
                 response = await delivery.run(frames)
@@ -156,11 +165,13 @@
             return response
         except AttemptRefusedError as error:
             self.app.metrics.count("attempts", outcome=error.failure.code)
-            await self._on_refusal(request, error.failure, desk, placement)
+            await self._on_refusal(
+                request, error.failure, dispatcher, placement
+            )
             return None
-        except (AttemptLostError, AnswerFailedError) as error:
+        except (AttemptLostError, ResponseFailedError) as error:
             self.app.metrics.count("attempts", outcome=error.failure.code)
-            self._note_loss(request, error, desk, placement)
+            self._note_loss(request, error, dispatcher, placement)
             return await self._on_failure(
                 request, link, delivery, error.failure
             )
@@ -173,21 +184,23 @@
             self.app.tasks.spawn(link.cancel())
             raise
         finally:
-            desk.count_run(placement.address, -1)
+            dispatcher.count_run(placement.address, -1)
 
-    def _check_may_run(self, request: CallerRequest, desk: Desk) -> None:
+    def _check_may_run(
+        self, request: CallerRequest, dispatcher: ServiceDispatcher
+    ) -> None:
         """Checks again what may have changed while the request waited."""
         refusal = self.membership.refusal()
         if refusal is not None:
             raise FleetError(refusal)
         if request.seconds_left() <= 0:
-            raise FleetError(_too_late(desk.retry_after()))
+            raise FleetError(_too_late(dispatcher.retry_after()))
 
     @staticmethod
     def _note_loss(
         request: CallerRequest,
-        error: AttemptLostError | AnswerFailedError,
-        desk: Desk,
+        error: AttemptLostError | ResponseFailedError,
+        dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
         """Leaves a lost agent alone; marks what ran when an endpoint died.
@@ -199,7 +212,7 @@
         """
         reason = error.failure
         if isinstance(error, AttemptLostError):
-            desk.pass_over(placement.address)
+            dispatcher.back_off(placement.address)
         elif reason.kind is Kind.ENDPOINT_LOST:
             ran = reason.outcome != Outcome.NOT_RUN.value
             request.suspect = request.suspect or ran
@@ -231,7 +244,7 @@
         self,
         request: CallerRequest,
         reason: Failure,
-        desk: Desk,
+        dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
         """Lets the request go on to another agent, or ends it."""
@@ -247,13 +260,13 @@
                 msgspec.structs.replace(reason, outcome=Outcome.NOT_RUN.value)
             )
         if reason.kind is not Kind.BUSY:
-            desk.pass_over(placement.address)
+            dispatcher.back_off(placement.address)
 
     async def _on_failure(
         self,
         request: CallerRequest,
-        link: AttemptLink,
-        delivery: Delivery,
+        link: AttemptClient,
+        delivery: ResponseDelivery,
         reason: Failure,
     ) -> web.StreamResponse | None:
         """Decides on a lost or failed attempt: another one, or the end."""
@@ -284,7 +297,7 @@
         )
 
     async def _on_failed_call(
-        self, request: CallerRequest, link: AttemptLink, reason: Failure
+        self, request: CallerRequest, link: AttemptClient, reason: Failure
     ) -> None:
         """Ends a call with what the ledger proves."""
         if reason.outcome == Outcome.NOT_RUN.value and link.admitted:
@@ -292,7 +305,7 @@
             # the agent never sent it. The ledger can't be set back.
             raise FleetError(reason)
         attempt = AttemptId(link.run.attempt)
-        outcome = await self.calls.give_up(request, attempt)
+        outcome = await self.calls.cancel_unstarted(request, attempt)
         if outcome is Outcome.NOT_RUN and request.seconds_left() > 0:
             if self.budgets.spend(request):
                 return None
--- a/packages/fleet/src/marjoramyard/fleet/entry/answers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -18,7 +18,7 @@
 that a cut one can be run again and the outcome can be told."""
 
 
-class AnswerFailedError(Exception):
+class ResponseFailedError(Exception):
     """The attempt's own end says that the answer failed or was cut."""
 
     def __init__(self, reason: Failure):
@@ -30,7 +30,7 @@
     """The caller took no bytes for too long."""
 
 
-class Delivery:
+class ResponseDelivery:
     """One answer on its way to one caller."""
 
     def __init__(self, request: CallerRequest, stall_seconds: float):
@@ -45,11 +45,11 @@
         """Delivers all frames.
 
         Raises:
-            AnswerFailedError: A frame told of a failure.
+            ResponseFailedError: A frame told of a failure.
         """
         async for frame in frames:
             if frame.head.failure is not None:
-                raise AnswerFailedError(frame.head.failure)
+                raise ResponseFailedError(frame.head.failure)
             if frame.head.is_end:
                 return await self._finish()
             if self.head is None:
@@ -58,7 +58,7 @@
                     await self._begin()
             else:
                 await self._data(frame.data)
-        raise AnswerFailedError(
+        raise ResponseFailedError(
             failure(Kind.ANSWER_CUT, "the answer had no end", Outcome.UNKNOWN)
         )
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -9,8 +9,11 @@
 from marjoramyard.coordination.governance.directory import DirectoryRow
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.entry.admission import Admission
-from marjoramyard.fleet.entry.desks import Desks
-from marjoramyard.fleet.entry.serving import RequestMetrics, Serving
+from marjoramyard.fleet.entry.dispatchers import Dispatchers
+from marjoramyard.fleet.entry.request_handler import (
+    RequestHandler,
+    RequestMetrics,
+)
 from marjoramyard.fleet.membership import Membership
 from marjoramyard.fleet.messages import (
     Empty,
@@ -44,16 +47,18 @@
         self.leaving = False
         self.control = ControlClient(app.client, app.settings.control_hosts)
         self.membership = Membership(self.control, app.metrics, self.row)
-        self.desks = Desks(app)
+        self.dispatchers = Dispatchers(app)
         self.admission = Admission(
             self.membership, app.settings.max_header_bytes
         )
-        self.serving = Serving(app, self.membership, self.control, self.desks)
+        self.serving = RequestHandler(
+            app, self.membership, self.control, self.dispatchers
+        )
         self.metrics = RequestMetrics(app)
         self.membership.on_agents.append(self._on_agents)
 
     def _on_agents(self) -> None:
-        self.desks.set_agents(list(self.membership.agents.values()))
+        self.dispatchers.set_agents(list(self.membership.agents.values()))
 
     def row(self) -> DirectoryRow:
         """Returns what the directory should say of this entry."""
@@ -69,7 +74,7 @@
     def start(self) -> None:
         """Starts what runs in the background."""
         self.app.tasks.spawn(self.membership.run())
-        self.app.tasks.spawn(self.desks.refresh_forever())
+        self.app.tasks.spawn(self.dispatchers.refresh_forever())
 
     # Service.
 
@@ -87,16 +92,16 @@
     async def on_free(self, request: web.Request) -> web.Response:
         """Takes an agent's word that it is busy no more."""
         message = await read_message(request, FreeMessage)
-        self.desks.get(ServiceId(message.service)).on_free(message)
+        self.dispatchers.get(ServiceId(message.service)).on_free(message)
         return json_response(Empty())
 
     async def on_grant(self, request: web.Request) -> web.Response:
         """Takes an agent's grant."""
         message = await read_message(request, GrantMessage)
-        desk = self.desks.get(ServiceId(message.service))
+        dispatcher = self.dispatchers.get(ServiceId(message.service))
         if not self.membership.holds_lease():
             return json_response(GrantReply(False))
-        return json_response(desk.on_grant(message))
+        return json_response(dispatcher.on_grant(message))
 
     async def on_request(self, request: web.Request) -> web.StreamResponse:
         """Serves a caller."""
--- a/packages/fleet/tests/agent/test_runs.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -9,10 +9,10 @@
 
 from marjoramyard.coordination.governance.commands import Reply
 from marjoramyard.coordination.governance.ledger import CallState, LedgerView
+from marjoramyard.fleet.agent.attempt_service import AttemptService
 from marjoramyard.fleet.agent.attempts import endpoint_headers
 from marjoramyard.fleet.agent.calls import start_call
 from marjoramyard.fleet.agent.meters import METERS
-from marjoramyard.fleet.agent.runs import Runs
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.messages import CallTicket, CancelReply, RunRequest
 from marjoramyard.kernel.errors import FleetError, Kind, failure
@@ -44,9 +44,9 @@
         return self.answers.pop(0)
 
 
-def make_runs():
+def make_service():
     app = SimpleNamespace(metrics=None, tasks=None, incarnation="agent~1")
-    runs = Runs.__new__(Runs)
+    runs = AttemptService.__new__(AttemptService)
     runs.app = app
     runs.attempts = {}
     runs.tombstones = OrderedDict()
@@ -63,7 +63,7 @@
     The agent says that it was not started, so the caller is told "not
     run". The request then arrives: it must find the mark.
     """
-    runs = make_runs()
+    runs = make_service()
     response = await runs.on_cancel(request_for("a1"))
     assert not msgspec.json.decode(response.body, type=CancelReply).started
     late = SimpleNamespace(
@@ -80,7 +80,7 @@
 
     Meanwhile the entry gave up, and the caller was told "not run".
     """
-    runs = make_runs()
+    runs = make_service()
     runs.tombstones["a1"] = None
     with pytest.raises(FleetError) as refused:
         await runs._start_call(run_request())
--- a/packages/fleet/tests/entry/test_desks.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -6,7 +6,7 @@
 
 from marjoramyard.coordination.governance.directory import DirectoryRow
 from marjoramyard.coordination.serving.waiting import RequestClass, Waiting
-from marjoramyard.fleet.entry.desks import Desks
+from marjoramyard.fleet.entry.dispatchers import Dispatchers
 from marjoramyard.kernel.errors import FleetError, Kind
 
 
@@ -22,7 +22,7 @@
     )
 
 
-def make_desks(name="entry-1", limit=0):
+def make_dispatchers(name="entry-1", limit=0):
     settings = SimpleNamespace(
         agents_per_service=limit, name=name, zone="zone-a"
     )
@@ -30,16 +30,16 @@
     app = SimpleNamespace(
         settings=settings, metrics=metrics, incarnation=f"{name}~1"
     )
-    return Desks(app)
+    return Dispatchers(app)
 
 
 ROWS = [row(n, f"zone-{'ab'[n % 2]}") for n in range(40)]
 
 
 def used_by(name, rows=ROWS, limit=8):
-    desks = make_desks(name, limit)
-    desks.set_agents(rows)
-    return set(desks.get("chat").agents)
+    dispatchers = make_dispatchers(name, limit)
+    dispatchers.set_agents(rows)
+    return set(dispatchers.get("chat").agents)
 
 
 def test_a_subset_is_stable_near_and_spread():
@@ -60,67 +60,71 @@
 
 def test_an_idle_agent_outside_every_subset_hears_of_waiting_work():
     """Its own entries have nothing; another entry has a backlog."""
-    desks = make_desks(limit=2)
-    desks.set_agents(ROWS)
-    desk = desks.get("chat")
+    dispatchers = make_dispatchers(limit=2)
+    dispatchers.set_agents(ROWS)
+    dispatcher = dispatchers.get("chat")
     told = set()
-    desk._tell = lambda view, whole=False: told.add(view.row.incarnation)
-    desk.refresh(0.0)
+    dispatcher._send_offer = lambda view, whole=False: told.add(
+        view.row.incarnation
+    )
+    dispatcher.refresh(0.0)
     assert told == set()
     item = Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
-    desk.queue.add(item)
+    dispatcher.queue.add(item)
     for _ in range(500):
-        desk.refresh(1e9)
-    assert told == {r.incarnation for r in ROWS} - set(desk.agents)
+        dispatcher.refresh(1e9)
+    assert told == {r.incarnation for r in ROWS} - set(dispatcher.agents)
 
 
 def test_new_backlogs_go_to_free_agents_and_two_busy_ones():
     """Telling every busy agent each time was most of the traffic."""
-    desks = make_desks()
-    desks.set_agents(ROWS[:10])
-    desk = desks.get("chat")
-    for number, view in enumerate(desk.agents.values()):
+    dispatchers = make_dispatchers()
+    dispatchers.set_agents(ROWS[:10])
+    dispatcher = dispatchers.get("chat")
+    for number, view in enumerate(dispatcher.agents.values()):
         view.free = 1 if number < 3 else 0
     told = []
-    desk._tell = lambda view, whole=False: told.append(view.free)
-    desk.queue.add(Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None))
-    desk._flush()
+    dispatcher._send_offer = lambda view, whole=False: told.append(view.free)
+    dispatcher.queue.add(
+        Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    )
+    dispatcher._flush()
     assert sorted(told) == [0, 0, 1, 1, 1]
 
 
 def test_entries_take_turns_with_rows_and_a_new_agent_gets_them_first():
     """A restarted agent must know everybody's standing at once."""
-    desks = make_desks()
-    desks.set_agents(ROWS[:1])
-    desk = desks.get("chat")
-    view = next(iter(desk.agents.values()))
+    dispatchers = make_dispatchers()
+    dispatchers.set_agents(ROWS[:1])
+    dispatcher = dispatchers.get("chat")
+    view = next(iter(dispatcher.agents.values()))
     view.entries = 10
-    desk.totals.learn({})
-    desk.totals.add("w", 5.0)
-    assert desk._totals_for(view).origins
+    dispatcher.totals.learn({})
+    dispatcher.totals.add("w", 5.0)
+    assert dispatcher._totals_for(view).origins
     view.link.peer = view.row.incarnation
-    sent = [bool(desk._totals_for(view).origins) for _ in range(2000)]
+    sent = [bool(dispatcher._totals_for(view).origins) for _ in range(2000)]
     assert 100 < sum(sent) < 300
 
 
 def test_a_backlog_that_begins_again_is_told_again():
     """It ended and began between two refreshes; agents think it is over."""
-    desks = make_desks()
-    desks.set_agents(ROWS[:1])
-    desk = desks.get("chat")
-    view = next(iter(desk.agents.values()))
-    view.told = {"w"}
-    desk._note_emptied("w")
-    assert view.told == set()
+    dispatchers = make_dispatchers()
+    dispatchers.set_agents(ROWS[:1])
+    dispatcher = dispatchers.get("chat")
+    view = next(iter(dispatcher.agents.values()))
+    view.offered = {"w"}
+    dispatcher._clear_offered_if_empty("w")
+    assert view.offered == set()
 
 
 def test_an_agent_that_gave_no_answer_is_passed_over():
-    desks = make_desks()
-    desks.set_agents(ROWS[:2])
-    desk = desks.get("chat")
-    desk.pass_over(ROWS[0].address)
-    assert [v.row for v in desk.ready_agents()] == [ROWS[1]]
-    assert desk.direct_candidates()[0].address == ROWS[1].address
+    dispatchers = make_dispatchers()
+    dispatchers.set_agents(ROWS[:2])
+    dispatcher = dispatchers.get("chat")
+    dispatcher.back_off(ROWS[0].address)
+    assert [v.row for v in dispatcher.ready_agents()] == [ROWS[1]]
+    assert dispatcher.direct_candidates()[0].address == ROWS[1].address
 
 
 def caller_request(limit=1, max_bytes=1000, body=b"x"):
@@ -140,11 +144,13 @@
 )
 async def test_past_a_workspaces_limits_the_answer_is_final_at_once(request_):
     """A workspace floods an entry; its next request must not be held."""
-    desks = make_desks()
-    desk = desks.get("chat")
-    desk.queue.add(Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None))
+    dispatchers = make_dispatchers()
+    dispatcher = dispatchers.get("chat")
+    dispatcher.queue.add(
+        Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    )
     with pytest.raises(FleetError) as refused:
-        await desk.wait(request_, first=False)
+        await dispatcher.wait(request_, first=False)
     reason = refused.value.failure
     assert reason.kind is Kind.WORKSPACE_FULL
     assert reason.outcome == "not-run"
@@ -152,12 +158,12 @@
 
 
 async def test_a_request_given_up_in_the_queue_is_not_run_and_says_when():
-    desks = make_desks()
-    desk = desks.get("chat")
+    dispatchers = make_dispatchers()
+    dispatcher = dispatchers.get("chat")
     with pytest.raises(FleetError) as refused:
-        await desk.wait(caller_request(), first=False)
+        await dispatcher.wait(caller_request(), first=False)
     reason = refused.value.failure
     assert reason.kind is Kind.DEADLINE
     assert reason.outcome == "not-run"
     assert reason.retry_after >= 1.0
-    assert desk.queue.count() == 0
+    assert dispatcher.queue.count() == 0
--- a/packages/fleet/tests/entry/test_serving.py
+++ b/packages/fleet/tests/entry/test_request_handler.py
@@ -4,10 +4,13 @@
 
 import pytest
 
-from marjoramyard.fleet.entry.answers import AnswerFailedError
-from marjoramyard.fleet.entry.desks import Placement
-from marjoramyard.fleet.entry.links import AttemptLostError
-from marjoramyard.fleet.entry.serving import Budgets, Serving
+from marjoramyard.fleet.entry.attempt_client import AttemptLostError
+from marjoramyard.fleet.entry.dispatchers import Placement
+from marjoramyard.fleet.entry.request_handler import (
+    RequestHandler,
+    RetryBudgets,
+)
+from marjoramyard.fleet.entry.responses import ResponseFailedError
 from marjoramyard.kernel.errors import (
     FleetError,
     Kind,
@@ -16,11 +19,11 @@
 )
 
 
-class FakeDesk:
+class FakeDispatcher:
     def __init__(self):
         self.passed_over = []
 
-    def pass_over(self, address):
+    def back_off(self, address):
         self.passed_over.append(address)
 
     def retry_after(self):
@@ -37,11 +40,11 @@
 @pytest.mark.parametrize(
     ("error", "suspect", "passed_over"),
     [
-        (AnswerFailedError(lost(Outcome.UNKNOWN)), True, False),
-        (AnswerFailedError(lost(Outcome.NOT_RUN)), False, False),
+        (ResponseFailedError(lost(Outcome.UNKNOWN)), True, False),
+        (ResponseFailedError(lost(Outcome.NOT_RUN)), False, False),
         (AttemptLostError(lost(Outcome.UNKNOWN)), False, True),
         (
-            AnswerFailedError(
+            ResponseFailedError(
                 failure(Kind.ENDPOINT_STALLED, "", Outcome.UNKNOWN)
             ),
             False,
@@ -56,10 +59,10 @@
 
     Held apart for nothing, innocent requests would run one after the other.
     """
-    request, desk = SimpleNamespace(suspect=False), FakeDesk()
-    Serving._note_loss(request, error, desk, PLACE)
+    request, dispatcher = SimpleNamespace(suspect=False), FakeDispatcher()
+    RequestHandler._note_loss(request, error, dispatcher, PLACE)
     assert request.suspect == suspect
-    assert bool(desk.passed_over) == passed_over
+    assert bool(dispatcher.passed_over) == passed_over
 
 
 def test_a_request_that_waited_past_the_lease_is_not_sent():
@@ -69,14 +72,16 @@
         membership=SimpleNamespace(refusal=lambda: refusal)
     )
     with pytest.raises(FleetError) as refused:
-        Serving._check_may_run(serving, SimpleNamespace(), FakeDesk())
+        RequestHandler._check_may_run(
+            serving, SimpleNamespace(), FakeDispatcher()
+        )
     assert refused.value.failure.kind is Kind.NO_LEASE
 
 
 def test_budgets_follow_the_policy_in_force():
     policy = SimpleNamespace(retry_ratio=0.1, retry_burst=1.0)
     membership = SimpleNamespace(bundle=SimpleNamespace(policy=policy))
-    budgets = Budgets(membership)
+    budgets = RetryBudgets(membership)
     request = SimpleNamespace(workspace_id="w", service_id="s")
     assert budgets.spend(request)
     assert not budgets.spend(request)
