--- a/bench/routers.py
+++ b/bench/routers.py
@@ -12,7 +12,7 @@
 from marjoramyard.coordination.governance.directory import DirectoryRow
 from marjoramyard.coordination.governance.lifecycle import Change
 from marjoramyard.fleet.control.signatures import sign
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.kernel.logs import configure_logs
@@ -88,7 +88,7 @@
             slots=8,
             endpoint=f"endpoint-{number}",
         )
-        self.membership = Membership(control, QuietMetrics(), lambda: row)
+        self.membership = RouterMembership(control, QuietMetrics(), lambda: row)
         self.installed: dict[int, float] = {}
         self.membership.on_bundle.append(self._note)
         self.task: asyncio.Task | None = None
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -15,7 +15,7 @@
 from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import CancelReply, OfferMessage, RunRequest
 from marjoramyard.fleet.paths import OFFER_PATH, RUN_HEADER, RUN_PATH
 from marjoramyard.fleet.refusals import quarantined
@@ -50,7 +50,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         control: ControlClient,
         endpoint: Endpoint,
         slots: SlotAllocator,
@@ -119,7 +119,7 @@
         if service is None or run.service != self.endpoint.announced.service:
             raise_failure(Kind.NO_ENDPOINT, f"{run.service} is not here")
         fingerprint = Fingerprint(run.fingerprint)
-        left = self.membership.is_convicted(fingerprint)
+        left = self.membership.quarantine_seconds_left(fingerprint)
         if left is not None:
             raise FleetError(quarantined(left))
         held = False
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -7,7 +7,7 @@
 
 from marjoramyard.coordination.serving.prefixes import PrefixHistory
 from marjoramyard.coordination.serving.slots import SlotLimit
-from marjoramyard.fleet.messages import Announcement
+from marjoramyard.fleet.messages import EndpointAnnouncement
 from marjoramyard.kernel.logs import get_logger
 
 logger = get_logger(__name__)
@@ -22,13 +22,13 @@
 
     def __init__(self, max_slots: int):
         self.max_slots = max_slots
-        self.announced: Announcement | None = None
+        self.announced: EndpointAnnouncement | None = None
         self.last_announced_at = float("-inf")
         self.dead_incarnation = ""
         self.slots = SlotLimit(1)
         self.prefixes = PrefixHistory()
 
-    def announce(self, word: Announcement) -> bool:
+    def announce(self, word: EndpointAnnouncement) -> bool:
         """Takes in an announcement; returns whether it changed anything."""
         before = self.announced
         is_restart = before is None or before.incarnation != word.incarnation
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -12,8 +12,8 @@
 from marjoramyard.fleet.agent.orders import OrderForwarder
 from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
-from marjoramyard.fleet.messages import Announcement, Empty
+from marjoramyard.fleet.membership import RouterMembership
+from marjoramyard.fleet.messages import Empty, EndpointAnnouncement
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.logs import get_logger
@@ -31,7 +31,7 @@
         self.leaving = False
         self.endpoint = Endpoint(app.settings.max_slots)
         self.control = ControlClient(app.client, app.settings.control_hosts)
-        self.membership = Membership(
+        self.membership = RouterMembership(
             self.control, app.metrics, self.row, keeps_keys=False
         )
         self.slots = SlotAllocator(
@@ -88,7 +88,7 @@
 
     async def on_announce(self, request: web.Request) -> web.Response:
         """Takes in the endpoint's announcement."""
-        word = await read_message(request, Announcement)
+        word = await read_message(request, EndpointAnnouncement)
         if self.endpoint.announce(word):
             self.orders.wake.set()
             self.membership.announce_soon()
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -17,7 +17,7 @@
 from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
     FreeMessage,
@@ -60,7 +60,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         endpoint: Endpoint,
         is_leaving: Callable[[], bool],
     ):
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -10,7 +10,7 @@
     ReportDeath,
 )
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.refusals import quarantined
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.kernel.errors import Failure, Kind, failure
@@ -24,7 +24,10 @@
     """Runs one suspect at a time here, and each at one agent at a time."""
 
     def __init__(
-        self, app: Application, membership: Membership, control: ControlClient
+        self,
+        app: Application,
+        membership: RouterMembership,
+        control: ControlClient,
     ):
         self.app = app
         self.membership = membership
@@ -48,7 +51,7 @@
         reply = await self.control.command(command, _HOLD_SECONDS)
         if isinstance(reply, Err) or not reply.ok_value.granted:
             self.held = None
-            left = self.membership.is_convicted(fingerprint)
+            left = self.membership.quarantine_seconds_left(fingerprint)
             return quarantined(left) if left else _later()
         return None
 
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -27,7 +27,7 @@
 
 logger = get_logger(__name__)
 
-EXTENSIONS = {
+ROLE_MODULES = {
     "control": "marjoramyard.fleet.control.role",
     "entry": "marjoramyard.fleet.entry.role",
     "agent": "marjoramyard.fleet.agent.role",
@@ -294,7 +294,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self.load_extension(EXTENSIONS[self.settings.role])
+        self.load_extension(ROLE_MODULES[self.settings.role])
         for module in self.settings.extensions:
             self.load_extension(module)
         factory = self.roles.get(self.settings.role)
--- a/packages/fleet/src/marjoramyard/fleet/control/keeper.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
@@ -21,7 +21,11 @@
 from marjoramyard.coordination.consensus.replica import Role
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.messages import Empty, InitCluster
-from marjoramyard.fleet.syncing import Announce, AnnounceReply, ControlHost
+from marjoramyard.fleet.sync_messages import (
+    ControlHost,
+    HostAnnouncement,
+    HostAnnouncementReply,
+)
 from marjoramyard.kernel.ids import ReplicaId
 from marjoramyard.kernel.logs import get_logger
 
@@ -48,7 +52,7 @@
 """A change that is not committed by then is looked at anew."""
 
 
-class ClusterKeeper:
+class ClusterManager:
     """Announces this control host and keeps the membership in order."""
 
     def __init__(self, role):
@@ -112,8 +116,8 @@
             told = await self.client.call(
                 address,
                 paths.ANNOUNCE_PATH,
-                Announce(self.me(), words),
-                AnnounceReply,
+                HostAnnouncement(self.me(), words),
+                HostAnnouncementReply,
                 CALL_SECONDS,
             )
         finally:
@@ -126,11 +130,11 @@
         else:
             self.role.service.words_lost(address)
 
-    def on_announce(self, message: Announce) -> AnnounceReply:
+    def on_announce(self, message: HostAnnouncement) -> HostAnnouncementReply:
         """Takes in another host's announcement."""
         self._note(message.host)
         self.role.service.hear(message.words)
-        return AnnounceReply(
+        return HostAnnouncementReply(
             self.me(), [*self.fresh_addresses()], self.role.leader_address()
         )
 
--- a/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
@@ -4,22 +4,26 @@
 from result import Err, Result
 
 from marjoramyard.fleet import paths
-from marjoramyard.fleet.control.keeper import ClusterKeeper
+from marjoramyard.fleet.control.cluster_manager import ClusterManager
 from marjoramyard.fleet.control.service import FleetService
 from marjoramyard.fleet.messages import Empty
-from marjoramyard.fleet.syncing import Announce, PutConfig, SyncRequest
+from marjoramyard.fleet.sync_messages import (
+    HostAnnouncement,
+    PutConfig,
+    SyncRequest,
+)
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.errors import FleetError
 
 
 def fleet_routes(
-    keeper: ClusterKeeper, service: FleetService
+    cluster_manager: ClusterManager, service: FleetService
 ) -> list[web.RouteDef]:
     """Returns the calls that a control host answers for the fleet."""
 
     async def announce(request: web.Request) -> web.Response:
-        message = await read_message(request, Announce)
-        return json_response(keeper.on_announce(message))
+        message = await read_message(request, HostAnnouncement)
+        return json_response(cluster_manager.on_announce(message))
 
     async def sync(request: web.Request) -> web.Response:
         message = await read_message(request, SyncRequest)
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -20,7 +20,7 @@
 from marjoramyard.coordination.consensus.replica import RaftTimings, Role
 from marjoramyard.coordination.governance.commands import Command, Reply
 from marjoramyard.coordination.governance.state import ControlState
-from marjoramyard.fleet.control.links import PeerLinks
+from marjoramyard.fleet.control.peer_clients import PeerClients
 from marjoramyard.fleet.control.storage import Storage
 from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
 from marjoramyard.kernel.logs import get_logger
@@ -59,7 +59,7 @@
         self,
         storage: Storage,
         stored: StoredState,
-        links: PeerLinks,
+        links: PeerClients,
         metrics: Metrics,
         snapshot_every: int,
     ):
--- a/packages/fleet/src/marjoramyard/fleet/control/links.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/peer_clients.py
@@ -19,7 +19,7 @@
 _PAUSE_AFTER_FAILURE = 0.2
 
 
-class PeerLink:
+class PeerClient:
     """Sends messages in order, as many in one post as have gathered.
 
     What does not arrive is dropped: the replica sends anew by itself, and
@@ -54,14 +54,14 @@
                 await asyncio.sleep(_PAUSE_AFTER_FAILURE)
 
 
-class PeerLinks:
+class PeerClients:
     """One link to each other control host."""
 
     def __init__(self, client: InternalClient, tasks: TaskGroup, me: str):
         self.client = client
         self.tasks = tasks
         self.me = me
-        self.links: dict[ReplicaId, PeerLink] = {}
+        self.links: dict[ReplicaId, PeerClient] = {}
         self.heard_from: dict[ReplicaId, str] = {}
 
     def hear(self, envelopes: list[Envelope]) -> None:
@@ -88,7 +88,7 @@
                 )
                 if address is None:
                     continue
-                link = PeerLink(address, self.client)
+                link = PeerClient(address, self.client)
                 self.links[receiver] = link
                 self.tasks.spawn(link.run())
             link.put(msgspec.structs.replace(envelope, reply_to=self.me))
--- a/packages/fleet/src/marjoramyard/fleet/control/queries.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/queries.py
@@ -6,16 +6,16 @@
 import msgspec
 
 from marjoramyard.fleet.control.node import ControlNode
-from marjoramyard.fleet.control.renewals import Renewals
+from marjoramyard.fleet.control.renewal_server import RenewalServer
 from marjoramyard.kernel.registry import Registry
 
-QueryHandler = Callable[[ControlNode, Renewals, str], Any]
+QueryHandler = Callable[[ControlNode, RenewalServer, str], Any]
 QUERIES: Registry[QueryHandler] = Registry("subject")
 """A new question is a function registered under its subject."""
 
 
 @QUERIES.register("bundle")
-def _bundle(node: ControlNode, _: Renewals, __: str) -> Any:
+def _bundle(node: ControlNode, _: RenewalServer, __: str) -> Any:
     state = node.state.bundles.state
     return {
         "version": state.version,
@@ -25,13 +25,13 @@
 
 
 @QUERIES.register("change")
-def _change(node: ControlNode, _: Renewals, change_id: str) -> Any:
+def _change(node: ControlNode, _: RenewalServer, change_id: str) -> Any:
     record = node.state.bundles.state.changes.get(change_id)
     return msgspec.to_builtins(record)
 
 
 @QUERIES.register("changes")
-def _changes(node: ControlNode, _: Renewals, __: str) -> Any:
+def _changes(node: ControlNode, _: RenewalServer, __: str) -> Any:
     changes = node.state.bundles.state.changes.values()
     return [
         {
@@ -47,27 +47,27 @@
 
 
 @QUERIES.register("audit")
-def _audit(node: ControlNode, _: Renewals, __: str) -> Any:
+def _audit(node: ControlNode, _: RenewalServer, __: str) -> Any:
     return msgspec.to_builtins(node.state.bundles.state.audit)
 
 
 @QUERIES.register("directory")
-def _directory(_: ControlNode, renewals: Renewals, __: str) -> Any:
+def _directory(_: ControlNode, renewals: RenewalServer, __: str) -> Any:
     return msgspec.to_builtins(list(renewals.directory.rows.values()))
 
 
 @QUERIES.register("orders")
-def _orders(node: ControlNode, _: Renewals, __: str) -> Any:
+def _orders(node: ControlNode, _: RenewalServer, __: str) -> Any:
     return msgspec.to_builtins(list(node.state.orders.values()))
 
 
 @QUERIES.register("suspects")
-def _suspects(node: ControlNode, _: Renewals, __: str) -> Any:
+def _suspects(node: ControlNode, _: RenewalServer, __: str) -> Any:
     return msgspec.to_builtins(node.state.suspects.known)
 
 
 @QUERIES.register("ledger")
-def _ledger(node: ControlNode, _: Renewals, __: str) -> Any:
+def _ledger(node: ControlNode, _: RenewalServer, __: str) -> Any:
     entries = node.state.ledger.entries.values()
     counts: dict[str, int] = {}
     for entry in entries:
--- a/packages/fleet/src/marjoramyard/fleet/control/renewals.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
@@ -26,7 +26,7 @@
 the leader's time however fast changes come: later ones travel together."""
 
 
-class Renewals:
+class RenewalServer:
     """Answers routers once something changed, or after their wait."""
 
     def __init__(self, node: ControlNode):
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -25,13 +25,16 @@
 from marjoramyard.coordination.governance import commands
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.application import Application
+from marjoramyard.fleet.control.cluster_manager import ClusterManager
 from marjoramyard.fleet.control.dialects import OPERATOR_DIALECTS
 from marjoramyard.fleet.control.fleet_routes import fleet_routes
-from marjoramyard.fleet.control.keeper import ClusterKeeper
-from marjoramyard.fleet.control.links import PeerLinks
 from marjoramyard.fleet.control.node import ControlNode
+from marjoramyard.fleet.control.peer_clients import PeerClients
 from marjoramyard.fleet.control.queries import QUERIES
-from marjoramyard.fleet.control.renewals import CONFIRM_SECONDS, Renewals
+from marjoramyard.fleet.control.renewal_server import (
+    CONFIRM_SECONDS,
+    RenewalServer,
+)
 from marjoramyard.fleet.control.service import FleetService
 from marjoramyard.fleet.control.signatures import OperatorKeys
 from marjoramyard.fleet.control.storage import (
@@ -40,10 +43,10 @@
     open_storage,
 )
 from marjoramyard.fleet.messages import (
+    CallLookUp,
     Empty,
     HostStatus,
     InitCluster,
-    LookUp,
     MemberChange,
     Query,
     QueryReply,
@@ -78,9 +81,9 @@
         self.spare_id = new_replica_id(self.settings.name)
         self.running: ControlNode | None = None
         self.node_task: asyncio.Task | None = None
-        self.renewals: Renewals | None = None
+        self.renewals: RenewalServer | None = None
         self.service = FleetService(self)
-        self.keeper = ClusterKeeper(self)
+        self.cluster_manager = ClusterManager(self)
         self._watch()
 
     def routes(self) -> list[web.RouteDef]:
@@ -94,7 +97,7 @@
             web.post(paths.STATUS_PATH, self.on_status),
             web.post(paths.INIT_PATH, self.on_init),
             web.post(paths.MEMBER_PATH, self.on_member),
-            *fleet_routes(self.keeper, self.service),
+            *fleet_routes(self.cluster_manager, self.service),
         ]
 
     def is_ready(self) -> bool:
@@ -118,7 +121,7 @@
             address = core.membership.addresses.get(core.leader)
             if address:
                 return address
-        return self.keeper.leader_address
+        return self.cluster_manager.leader_address
 
     async def drain(self) -> None:
         """Hands leadership over, so that no election has to time out."""
@@ -141,11 +144,13 @@
         self.running = ControlNode(
             self.storage,
             stored,
-            PeerLinks(self.app.client, self.app.tasks, self.settings.reachable),
+            PeerClients(
+                self.app.client, self.app.tasks, self.settings.reachable
+            ),
             self.app.metrics,
             self.settings.snapshot_every,
         )
-        self.renewals = Renewals(self.running)
+        self.renewals = RenewalServer(self.running)
         self.running.on_applied.append(self.service.on_applied)
         self.running.on_storage_failed = self._on_storage_failed
         self.node_task = self.app.tasks.spawn(self.running.tick_forever())
@@ -182,7 +187,7 @@
             except OSError as error:
                 logger.warning("storage_still_failing", error=str(error))
 
-    async def _expire_forever(self, renewals: Renewals) -> None:
+    async def _expire_forever(self, renewals: RenewalServer) -> None:
         while self.renewals is renewals:
             await asyncio.sleep(_EXPIRE_SECONDS)
             renewals.expire()
@@ -275,7 +280,7 @@
 
     async def on_look_up(self, request: web.Request) -> web.Response:
         """Says what the ledger holds of a call."""
-        asked = await read_message(request, LookUp)
+        asked = await read_message(request, CallLookUp)
         node = await self._confirmed()
         view = node.state.ledger.look_up(asked.key, asked.body_digest)
         return json_response(commands.Reply(call=view))
@@ -413,7 +418,7 @@
             await stack.enter_async_context(listening)
             if app.settings.self_forming:
                 await stack.enter_async_context(_serve_operators(app, role))
-                app.tasks.spawn(role.keeper.run())
+                app.tasks.spawn(role.cluster_manager.run())
                 app.tasks.spawn(role.service.sweep_forever())
             yield role
 
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -21,7 +21,7 @@
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.control.node import no_quorum
 from marjoramyard.fleet.messages import Empty
-from marjoramyard.fleet.syncing import (
+from marjoramyard.fleet.sync_messages import (
     PutConfig,
     StoredConfig,
     SyncReply,
@@ -282,7 +282,7 @@
                 if self.changed_at.get(word.endpoint, 0) > after
             ],
             sorted(self.silent),
-            self.role.keeper.fresh_addresses(),
+            self.role.cluster_manager.fresh_addresses(),
             max(1, len(self.gateways)),
             self._brokers() if confirmed else [],
         )
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -15,7 +15,7 @@
 )
 from marjoramyard.coordination.governance.ledger import Ledger
 from marjoramyard.fleet.entry.requests import CallerRequest
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import CallTicket
 from marjoramyard.kernel.errors import (
     Failure,
@@ -50,7 +50,7 @@
 class Admission:
     """Turns an HTTP request into a checked one, or raises why not."""
 
-    def __init__(self, membership: Membership, max_header_bytes: int):
+    def __init__(self, membership: RouterMembership, max_header_bytes: int):
         self.membership = membership
         self.max_header_bytes = max_header_bytes
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -27,7 +27,7 @@
     ResponseDelivery,
     ResponseFailedError,
 )
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.refusals import quarantined
 from marjoramyard.fleet.util.control_client import ControlClient
@@ -52,7 +52,7 @@
 class RetryBudgets:
     """Retry budgets of each workspace and each service."""
 
-    def __init__(self, membership: Membership):
+    def __init__(self, membership: RouterMembership):
         self.membership = membership
         self.budgets: dict[str, RetryBudget] = {}
 
@@ -94,7 +94,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         control: ControlClient,
         dispatchers: Dispatchers,
     ):
@@ -111,7 +111,7 @@
         Raises:
             FleetError: The request ended without one.
         """
-        left = self.membership.is_convicted(request.fingerprint)
+        left = self.membership.quarantine_seconds_left(request.fingerprint)
         if left is not None:
             raise FleetError(quarantined(left))
         if request.call is not None:
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -14,7 +14,7 @@
     RequestHandler,
     RequestMetrics,
 )
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
     FreeMessage,
@@ -46,7 +46,7 @@
         self.active = 0
         self.leaving = False
         self.control = ControlClient(app.client, app.settings.control_hosts)
-        self.membership = Membership(self.control, app.metrics, self.row)
+        self.membership = RouterMembership(self.control, app.metrics, self.row)
         self.dispatchers = Dispatchers(app)
         self.admission = Admission(
             self.membership, app.settings.max_header_bytes
--- a/packages/fleet/src/marjoramyard/fleet/gateway/following.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/following.py
@@ -7,7 +7,7 @@
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.gateway.view import FleetView
-from marjoramyard.fleet.syncing import SyncReply, SyncRequest
+from marjoramyard.fleet.sync_messages import SyncReply, SyncRequest
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.util.clocks import boot_seconds
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -15,7 +15,7 @@
 )
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.fleet.gateway.dialect import GatewayDialect
-from marjoramyard.fleet.syncing import SyncReply
+from marjoramyard.fleet.sync_messages import SyncReply
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.util.clocks import boot_seconds
 
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -31,7 +31,7 @@
 _BUNDLE_LOST = -1
 
 
-class Membership:
+class RouterMembership:
     """Keeps a router renewed; the rest of the router only looks things up.
 
     Attributes:
@@ -86,7 +86,7 @@
             retry_after=random.uniform(1.0, 3.0),
         )
 
-    def is_convicted(self, fingerprint: Fingerprint) -> float | None:
+    def quarantine_seconds_left(self, fingerprint: Fingerprint) -> float | None:
         """Returns the seconds for which a request is refused, if it is."""
         until = self.convicted.get(fingerprint, 0.0)
         left = until - time.monotonic()
--- a/packages/fleet/src/marjoramyard/fleet/messages.py
+++ b/packages/fleet/src/marjoramyard/fleet/messages.py
@@ -123,7 +123,7 @@
     prefix: str = ""
 
 
-class Announcement(msgspec.Struct, omit_defaults=True):
+class EndpointAnnouncement(msgspec.Struct, omit_defaults=True):
     """An endpoint announces itself to its agent.
 
     Attributes:
@@ -188,7 +188,7 @@
     newest_order: int = 0
 
 
-class LookUp(msgspec.Struct):
+class CallLookUp(msgspec.Struct):
     """Asks a confirmed leader what the ledger says of a call."""
 
     key: str
--- a/packages/fleet/src/marjoramyard/fleet/syncing.py
+++ b/packages/fleet/src/marjoramyard/fleet/sync_messages.py
@@ -28,7 +28,7 @@
     entries: int = 0
 
 
-class Announce(msgspec.Struct, frozen=True):
+class HostAnnouncement(msgspec.Struct, frozen=True):
     """A control host tells another of itself and of registrations.
 
     Attributes:
@@ -40,7 +40,7 @@
     words: list[Registration] = []
 
 
-class AnnounceReply(msgspec.Struct, frozen=True):
+class HostAnnouncementReply(msgspec.Struct, frozen=True):
     """What the receiver is, and the addresses of those it heard lately."""
 
     host: ControlHost
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from marjoramyard.coordination.governance.commands import Command, Reply
-from marjoramyard.fleet.messages import LookUp, Query, QueryReply
+from marjoramyard.fleet.messages import CallLookUp, Query, QueryReply
 from marjoramyard.fleet.paths import COMMAND_PATH, LOOK_UP_PATH, QUERY_PATH
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
@@ -89,7 +89,7 @@
         self, key: str, body_digest: str, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
         """Asks what the ledger holds of a call."""
-        message = LookUp(key, body_digest)
+        message = CallLookUp(key, body_digest)
         return await self.ask(LOOK_UP_PATH, message, Reply, timeout)
 
     async def query(
--- a/packages/fleet/tests/agent/test_attempt_service.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -127,7 +127,7 @@
 
 async def test_a_suspect_that_runs_elsewhere_waits():
     control = FakeControl(Ok(Reply(granted=False)))
-    membership = SimpleNamespace(is_convicted=lambda _: None)
+    membership = SimpleNamespace(quarantine_seconds_left=lambda _: None)
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, membership, control)
     assert (await guard.hold("one")).kind is Kind.HELD_APART
--- a/packages/fleet/tests/control/test_renewals.py
+++ b/packages/fleet/tests/control/test_renewal_server.py
@@ -6,7 +6,7 @@
 from marjoramyard.coordination.governance.lease import LEASE_SECONDS
 from marjoramyard.coordination.governance.state import ControlState
 from marjoramyard.fleet.control.node import ELECTION_SECONDS
-from marjoramyard.fleet.control.renewals import Renewals
+from marjoramyard.fleet.control.renewal_server import RenewalServer
 from marjoramyard.fleet.membership import POLL_SECONDS
 
 
@@ -17,7 +17,7 @@
         core=SimpleNamespace(me="control-1~a"),
         state=ControlState(),
     )
-    return Renewals(node), node
+    return RenewalServer(node), node
 
 
 async def test_a_change_wakes_waiting_routers_at_once():
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -11,7 +11,7 @@
 )
 from marjoramyard.coordination.governance.lifecycle import Delta
 from marjoramyard.coordination.governance.orders import FencingGuard
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import RenewReply
 from marjoramyard.kernel.errors import Kind, failure
 
@@ -59,7 +59,7 @@
 
 def make(*answers):
     control = FakeControl(answers)
-    return Membership(control, NoMetrics(), lambda: ROW), control
+    return RouterMembership(control, NoMetrics(), lambda: ROW), control
 
 
 async def test_a_snapshot_then_deltas_are_installed_and_renew_the_lease():
@@ -196,4 +196,4 @@
     router._take_suspects(
         RenewReply(8.0, 1, "c", suspects=["f"], convicted={"f": left})
     )
-    assert (router.is_convicted("f") is not None) == (left > 0)
+    assert (router.quarantine_seconds_left("f") is not None) == (left > 0)
--- a/packages/standin/src/marjoramyard/standin/announcing.py
+++ b/packages/standin/src/marjoramyard/standin/announcing.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from marjoramyard.coordination.governance.orders import Order
-from marjoramyard.fleet.messages import Announcement
+from marjoramyard.fleet.messages import EndpointAnnouncement
 from marjoramyard.kernel.ids import new_incarnation
 
 ANNOUNCE_SECONDS = 1.0
@@ -95,7 +95,7 @@
         return web.json_response(self.counters())
 
     async def _announce_once(self, session: aiohttp.ClientSession) -> None:
-        word = Announcement(
+        word = EndpointAnnouncement(
             self.name,
             self.incarnation,
             self.address,
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -11,7 +11,7 @@
 from marjoramyard.coordination.governance.commands import ConfigDocument
 from marjoramyard.coordination.membership.registrations import EndpointState
 from marjoramyard.coordination.routing.config import RequestKind
-from marjoramyard.fleet.syncing import StoredConfig
+from marjoramyard.fleet.sync_messages import StoredConfig
 from marjoramyard.kernel.errors import Kind, failure
 from marjoramyard.platform.callers import HEADERS
 from marjoramyard.platform.configurations import (
