--- a/bench/group_commit.py
+++ b/bench/group_commit.py
@@ -31,7 +31,7 @@
                 for n in range(size)
             ]
             started = time.perf_counter()
-            storage.write(None, entries)
+            storage.append(None, entries)
             pauses.append(time.perf_counter() - started)
             index += size
     return {
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -199,7 +199,7 @@
         if word.incarnation != self.endpoint.announced.incarnation:
             return
         death_id = self.endpoint.mark_dead()
-        self.membership.announce_soon()
+        self.membership.announce_now()
         self.app.tasks.spawn(self.guard.report(death_id, running))
 
     # Resume and cancel.
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -80,7 +80,7 @@
             if self.endpoint.is_ready != known:
                 known = not known
                 logger.info("endpoint_ready", ready=known)
-                self.membership.announce_soon()
+                self.membership.announce_now()
 
     def endpoint_routes(self) -> list[web.RouteDef]:
         """Returns the service to the endpoint."""
@@ -91,7 +91,7 @@
         word = await read_message(request, EndpointAnnouncement)
         if self.endpoint.announce(word):
             self.orders.wake.set()
-            self.membership.announce_soon()
+            self.membership.announce_now()
         self.slots.grant_free_slots()
         return json_response(Empty())
 
@@ -106,7 +106,7 @@
         counts: exiting then would cut an answer that is whole.
         """
         self.leaving = True
-        self.membership.announce_soon()
+        self.membership.announce_now()
         while self.slots.running or any(
             attempt.reader is not None
             for attempt in self.runs.attempts.values()
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -45,7 +45,7 @@
 """One `stat` each time; a change matters within seconds at the soonest."""
 
 
-def _modified_at(source: Path | None) -> int:
+def _modified_ns(source: Path | None) -> int:
     """Returns when a file was last written, 0 if that can't be told."""
     try:
         return source.stat().st_mtime_ns if source is not None else 0
@@ -122,7 +122,7 @@
         return len(self.runner.server.connections)
 
     def close_idle(
-        self, busy: Collection[web.RequestHandler], most: int | None = None
+        self, in_use: Collection[web.RequestHandler], limit: int | None = None
     ) -> int:
         """Closes connections on which nothing is being answered.
 
@@ -131,8 +131,8 @@
         the connection open, so a request that comes on it meets silence.
 
         Args:
-            busy: The connections that are left as they are.
-            most: How many to close, the oldest first; None for all.
+            in_use: Connections to leave open.
+            limit: The most connections to close, oldest first; None for all.
 
         Returns:
             How many were closed.
@@ -140,20 +140,22 @@
         idle = [
             connection
             for connection in self.runner.server.connections
-            if connection not in busy and _waits_for_request(connection)
+            if connection not in in_use and _waits_for_request(connection)
         ]
-        for connection in idle[:most]:
+        for connection in idle[:limit]:
             connection.force_close()
-        return len(idle[:most])
+        return len(idle[:limit])
 
 
 class Application:
     """One process of the fleet."""
 
-    def __init__(self, settings: RoleSettings, source: Path | None = None):
+    def __init__(
+        self, settings: RoleSettings, settings_path: Path | None = None
+    ):
         self.settings = settings
-        self.source = source
-        self.source_read_at = _modified_at(source)
+        self.settings_path = settings_path
+        self.settings_modified_ns = _modified_ns(settings_path)
         self.incarnation = new_incarnation(settings.name)
         self.metrics = Metrics(settings.role, settings.name)
         self.roles: Registry[RoleFactory] = Registry("role")
@@ -271,10 +273,10 @@
 
     def reload(self) -> None:
         """Takes in the settings that may change while the process runs."""
-        if self.source is None:
+        if self.settings_path is None:
             return
-        self.source_read_at = _modified_at(self.source)
-        loaded = load_settings(self.source)
+        self.settings_modified_ns = _modified_ns(self.settings_path)
+        loaded = load_settings(self.settings_path)
         if isinstance(loaded, Err):
             logger.error("settings_refused", why=loaded.err_value)
             return
@@ -285,7 +287,7 @@
         """Notices a settings file that changes without a signal."""
         while True:
             await asyncio.sleep(_WATCH_SECONDS)
-            if _modified_at(self.source) != self.source_read_at:
+            if _modified_ns(self.settings_path) != self.settings_modified_ns:
                 self.reload()
 
     async def run(self) -> None:
@@ -301,7 +303,7 @@
         async with task_group() as self.tasks:
             self.client = rpc.InternalClient(self.secret, self.metrics)
             self._watch_traffic()
-            if self.source is not None:
+            if self.settings_path is not None:
                 self.tasks.spawn(self._watch_settings())
             try:
                 async with self._serve_metrics(), factory(self) as self.role:
--- a/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
@@ -73,11 +73,11 @@
         replica = cluster = ""
         entries = 0
         if role.storage is not None:
-            replica = str(role.spare_id)
-        if role.running is not None:
-            replica = str(role.running.core.me)
+            replica = str(role.unassigned_replica_id)
+        if role.running_node is not None:
+            replica = str(role.running_node.core.me)
             cluster = role.storage.identity.cluster
-            entries = role.running.core.log.last_index
+            entries = role.running_node.core.log.last_index
         return ControlHost(
             self.settings.name,
             self.settings.reachable,
@@ -103,16 +103,16 @@
 
     def peers(self) -> list[str]:
         """Returns the internal addresses of the other control hosts."""
-        known = self.addresses | set(self.settings.seed_peers())
-        if self.role.running is not None:
-            membership = self.role.running.core.membership
+        known = self.addresses | set(self.settings.seed_addresses())
+        if self.role.running_node is not None:
+            membership = self.role.running_node.core.membership
             known |= set(membership.addresses.values())
         return sorted(known - {self.settings.reachable})
 
     async def _announce_to(self, address: str) -> None:
         self.busy.add(address)
         try:
-            words = self.role.service.words_for(address)
+            words = self.role.service.take_pending_updates(address)
             told = await self.client.call(
                 address,
                 paths.ANNOUNCE_PATH,
@@ -128,12 +128,12 @@
             if told.ok_value.leader:
                 self.leader_address = told.ok_value.leader
         else:
-            self.role.service.words_lost(address)
+            self.role.service.resend_all(address)
 
     def on_announce(self, message: HostAnnouncement) -> HostAnnouncementReply:
         """Takes in another host's announcement."""
         self._note(message.host)
-        self.role.service.hear(message.words)
+        self.role.service.merge_updates(message.words)
         return HostAnnouncementReply(
             self.me(), [*self.fresh_addresses()], self.role.leader_address()
         )
@@ -168,8 +168,8 @@
     async def _found_or_mend(self) -> None:
         if self._may_found():
             await self._found()
-        elif self.role.running is not None:
-            if self.role.running.core.role is Role.LEADER:
+        elif self.role.running_node is not None:
+            if self.role.running_node.core.role is Role.LEADER:
                 await self._mend()
             else:
                 self.led_since = time.monotonic()
@@ -193,7 +193,7 @@
 
     async def _found(self) -> None:
         empty = [h for h in [*self.seen.values(), self.me()] if h.replica]
-        wanted = self.settings.voters
+        wanted = self.settings.voter_count
         waited = time.monotonic() - self.started_at
         if len(empty) < wanted and waited < 3 * SETTLE_SECONDS:
             return
@@ -230,10 +230,10 @@
 
     async def _mend(self) -> None:
         now = time.monotonic()
-        core = self.role.running.core
+        core = self.role.running_node.core
         step = next_step(
             core.membership,
-            self.settings.voters,
+            self.settings.voter_count,
             self._candidates(now),
             self._lost(now),
             {r for r in core.membership.learners if core.is_caught_up(r)},
@@ -243,7 +243,7 @@
         if step.kind is StepKind.ADD:
             await self._prepare(step)
         membership = apply_step(core.membership, step)
-        done = await self.role.running.change_membership(
+        done = await self.role.running_node.change_membership(
             membership, STEP_SECONDS
         )
         logger.info(
@@ -272,7 +272,7 @@
         back, so it is given time.
         """
         lost = set()
-        core = self.role.running.core
+        core = self.role.running_node.core
         for replica, address in core.membership.addresses.items():
             if replica == core.me:
                 continue
--- a/packages/fleet/src/marjoramyard/fleet/control/dialects.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/dialects.py
@@ -33,13 +33,13 @@
         problems = config.problems()
         if problems:
             raise_failure(Kind.INVALID_BUNDLE, "; ".join(problems))
-        done = await service.accept(ConfigDocument(config.version, text))
+        done = await service.put_config(ConfigDocument(config.version, text))
         if isinstance(done, Err):
             raise FleetError(done.err_value)
         return json_response(Empty())
 
     async def get_config(_: web.Request) -> web.Response:
-        done = await service.read()
+        done = await service.read_config()
         if isinstance(done, Err):
             raise FleetError(done.err_value)
         if done.ok_value.document is None:
@@ -55,7 +55,7 @@
         return json_response(Empty())
 
     async def depart(request: web.Request) -> web.Response:
-        service.depart(request.match_info["endpoint"])
+        service.mark_departed(request.match_info["endpoint"])
         return json_response(Empty())
 
     return [
--- a/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
@@ -31,10 +31,10 @@
 
     async def put_config(request: web.Request) -> web.Response:
         message = await read_message(request, PutConfig)
-        return _answer(await service.on_put(message))
+        return _answer(await service.on_put_config(message))
 
     async def read_config(_: web.Request) -> web.Response:
-        return _answer(await service.on_read(Empty()))
+        return _answer(await service.on_read_config(Empty()))
 
     return [
         web.post(paths.ANNOUNCE_PATH, announce),
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -32,7 +32,7 @@
 TIMINGS = RaftTimings(election=12, heartbeat=4, first_election=2)
 """In ticks. Hosts that start together are there within some 0.2 s of each
 other; a vote takes two round trips and a sync, about 20 ms."""
-ELECTION_SECONDS = 2 * TIMINGS.election * TICK_SECONDS
+MAX_ELECTION_SECONDS = 2 * TIMINGS.election * TICK_SECONDS
 """The longest wait before an election; callers are told to wait as long."""
 MAX_TICKS_AT_ONCE = 3
 
@@ -108,14 +108,14 @@
             if behind > MAX_TICKS_AT_ONCE * TICK_SECONDS:
                 due = loop.time()
             self.core.tick()
-            self.schedule_pump()
+            self.schedule_processing()
 
     def receive(self, envelopes: list[Envelope]) -> None:
         """Takes in messages of other replicas."""
         self.links.hear(envelopes)
         for envelope in envelopes:
             self.core.receive(envelope)
-        self.schedule_pump()
+        self.schedule_processing()
 
     async def execute(
         self, command: Command, timeout: float
@@ -148,7 +148,7 @@
     ) -> Result[Reply, Failure]:
         future = asyncio.get_running_loop().create_future()
         self.pending[index] = Pending(self.core.term, future)
-        self.schedule_pump()
+        self.schedule_processing()
         try:
             async with asyncio.timeout(timeout):
                 return await future
@@ -157,7 +157,7 @@
         finally:
             self.pending.pop(index, None)
 
-    async def confirm(self, timeout: float) -> Result[int, Failure]:
+    async def confirm_leadership(self, timeout: float) -> Result[int, Failure]:
         """Proves that we still lead, so that the state may be read.
 
         A leader that was cut off or frozen and does not know it can't get
@@ -169,7 +169,7 @@
         wanted = self.core.request_round()
         future = asyncio.get_running_loop().create_future()
         self.readers.append(ReadRound(term, wanted, future))
-        self.schedule_pump()
+        self.schedule_processing()
         try:
             async with asyncio.timeout(timeout):
                 if await future:
@@ -187,13 +187,13 @@
         reason = failure(
             Kind.NOT_LEADER,
             "this control host does not lead; ask the leader named here",
-            retry_after=ELECTION_SECONDS,
+            retry_after=MAX_ELECTION_SECONDS,
         )
         return msgspec.structs.replace(reason, leader=address)
 
     # The pump.
 
-    def schedule_pump(self) -> None:
+    def schedule_processing(self) -> None:
         """Runs the pump once after all input of this turn of the loop.
 
         What arrives in one turn is synced together: one sync for a batch
@@ -231,7 +231,7 @@
             self.state = ControlState.restore(ready.snapshot.data)
             logger.info("snapshot_installed", index=ready.snapshot.index)
         if ready.hard is not None or ready.entries:
-            self.storage.write(ready.hard, ready.entries)
+            self.storage.append(ready.hard, ready.entries)
 
     def _apply(self, ready: Ready) -> None:
         for entry in ready.committed:
@@ -302,5 +302,5 @@
         "no quorum of control hosts answered; look at `marjoramctl status`, "
         "then send it again",
         outcome,
-        ELECTION_SECONDS,
+        MAX_ELECTION_SECONDS,
     )
--- a/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
@@ -108,7 +108,7 @@
             self._wake_within(_SETTLE_SECONDS)
         if not self._has_news(request):
             await self._wait(self.wait_seconds(request.wait_seconds))
-        confirmed = await self.node.confirm(CONFIRM_SECONDS)
+        confirmed = await self.node.confirm_leadership(CONFIRM_SECONDS)
         if confirmed.is_err():
             raise FleetError(_as_failure(confirmed.err()))
         return self._reply(request)
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -65,9 +65,9 @@
 
 logger = get_logger(__name__)
 
-COMMAND_SECONDS = 4.0
+COMMAND_TIMEOUT_SECONDS = 4.0
 _EXPIRE_SECONDS = 1.0
-_REOPEN_SECONDS = 0.5
+_STORAGE_RETRY_SECONDS = 0.5
 
 
 class ControlRole:
@@ -78,8 +78,8 @@
         self.settings = app.settings
         self.storage = storage
         self.keys = OperatorKeys(self.settings.bootstrap_operators)
-        self.spare_id = new_replica_id(self.settings.name)
-        self.running: ControlNode | None = None
+        self.unassigned_replica_id = new_replica_id(self.settings.name)
+        self.running_node: ControlNode | None = None
         self.node_task: asyncio.Task | None = None
         self.renewals: RenewalServer | None = None
         self.service = FleetService(self)
@@ -104,9 +104,12 @@
         """A control host is ready when it knows a leader."""
         return bool(self.leader_address())
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this host leads and may answer for the cluster."""
-        return self.running is not None and self.running.core.can_serve_reads
+        return (
+            self.running_node is not None
+            and self.running_node.core.can_serve_reads
+        )
 
     def leader_address(self) -> str:
         """Returns the internal address of the leader; "" if unknown.
@@ -114,8 +117,8 @@
         A host without a replica, or whose replica is not caught up yet,
         goes by what the others announce.
         """
-        if self.running is not None:
-            core = self.running.core
+        if self.running_node is not None:
+            core = self.running_node.core
             if core.role is RaftRole.LEADER:
                 return self.settings.reachable
             address = core.membership.addresses.get(core.leader)
@@ -125,10 +128,10 @@
 
     async def drain(self) -> None:
         """Hands leadership over, so that no election has to time out."""
-        node = self.running
+        node = self.running_node
         if node is None or not node.core.transfer_leadership():
             return
-        node.schedule_pump()
+        node.schedule_processing()
         try:
             async with asyncio.timeout(2.0):
                 while node.core.role is RaftRole.LEADER:
@@ -141,7 +144,7 @@
     def start_node(self) -> None:
         """Brings up the replica that the folder holds."""
         stored = self.storage.load()
-        self.running = ControlNode(
+        self.running_node = ControlNode(
             self.storage,
             stored,
             PeerClients(
@@ -150,16 +153,16 @@
             self.app.metrics,
             self.settings.snapshot_every,
         )
-        self.renewals = RenewalServer(self.running)
-        self.running.on_applied.append(self.service.on_applied)
-        self.running.on_storage_failed = self._on_storage_failed
-        self.node_task = self.app.tasks.spawn(self.running.tick_forever())
+        self.renewals = RenewalServer(self.running_node)
+        self.running_node.on_applied.append(self.service.on_applied)
+        self.running_node.on_storage_failed = self._on_storage_failed
+        self.node_task = self.app.tasks.spawn(self.running_node.tick_forever())
         self.app.tasks.spawn(self._expire_forever(self.renewals))
         logger.info(
             "replica_started",
-            replica=self.running.core.me,
-            term=self.running.core.term,
-            entries=self.running.core.log.last_index,
+            replica=self.running_node.core.me,
+            term=self.running_node.core.term,
+            entries=self.running_node.core.log.last_index,
         )
 
     def _on_storage_failed(self, error: OSError) -> None:
@@ -173,16 +176,16 @@
         logger.error("storage_failed", error=str(error))
         self.app.metrics.count("storage_failures")
         self.node_task.cancel()
-        self.running.stop()
-        self.running = None
+        self.running_node.stop()
+        self.running_node = None
         self.app.tasks.spawn(self._reopen())
 
     async def _reopen(self) -> None:
-        while self.running is None:
-            await asyncio.sleep(_REOPEN_SECONDS)
+        while self.running_node is None:
+            await asyncio.sleep(_STORAGE_RETRY_SECONDS)
             try:
                 self.storage.close()
-                self.storage.probe()
+                self.storage.check_writable()
                 self.start_node()
             except OSError as error:
                 logger.warning("storage_still_failing", error=str(error))
@@ -199,23 +202,23 @@
         Raises:
             FleetError: The folder is empty and no cluster took it in yet.
         """
-        if self.running is None:
+        if self.running_node is None:
             raise_failure(
                 Kind.UNINITIALISED,
                 "this control host holds no state; take it in with "
                 "`marjoramctl cluster init` or `cluster replace`",
             )
-        return self.running
+        return self.running_node
 
     def _watch(self) -> None:
         def commits() -> list[tuple[float, dict[str, str]]]:
-            if self.running is None:
+            if self.running_node is None:
                 return []
-            core = self.running.core
+            core = self.running_node.core
             return [
                 (core.commit, {"what": "commit"}),
                 (core.log.last_index, {"what": "last"}),
-                (self.storage.syncs, {"what": "syncs"}),
+                (self.storage.sync_count, {"what": "syncs"}),
                 (self.storage.bytes_written, {"what": "bytes"}),
             ]
 
@@ -233,7 +236,7 @@
         command = await read_message(request, commands.Command)
         command = msgspec.structs.replace(command, at=time.time())
         self._check_signature(command)
-        done = await self.node.execute(command, COMMAND_SECONDS)
+        done = await self.node.execute(command, COMMAND_TIMEOUT_SECONDS)
         if isinstance(done, Err):
             raise FleetError(done.err_value)
         if done.ok_value.failure is not None:
@@ -273,7 +276,7 @@
 
     async def _confirmed(self) -> ControlNode:
         node = self.node
-        confirmed = await node.confirm(CONFIRM_SECONDS)
+        confirmed = await node.confirm_leadership(CONFIRM_SECONDS)
         if isinstance(confirmed, Err):
             raise FleetError(confirmed.err_value)
         return node
@@ -313,11 +316,19 @@
     def status(self) -> HostStatus:
         """Returns how this host stands."""
         name = self.settings.name
-        if self.running is None:
+        if self.running_node is None:
             return HostStatus(
-                name, self.spare_id, "empty", 0, "", 0, 0, 0, Membership()
+                name,
+                self.unassigned_replica_id,
+                "empty",
+                0,
+                "",
+                0,
+                0,
+                0,
+                Membership(),
             )
-        core = self.running.core
+        core = self.running_node.core
         synced = {}
         if core.role is RaftRole.LEADER:
             synced = {r: p.match for r, p in core.progress.items()}
@@ -330,7 +341,7 @@
             core.membership.addresses.get(core.leader, ""),
             core.log.last_index,
             core.commit,
-            self.running.state.bundles.state.version,
+            self.running_node.state.bundles.state.version,
             core.membership,
             synced,
             self.storage.identity.cluster,
@@ -346,7 +357,7 @@
                 would forget its votes and its entries.
         """
         asked = await read_message(request, InitCluster)
-        if self.running is not None or self.storage is None:
+        if self.running_node is not None or self.storage is None:
             raise_failure(
                 Kind.CONFLICT,
                 "this control host holds a replica already; it is left as "
@@ -357,7 +368,7 @@
 
     def initialise(self, cluster: str, membership: Membership) -> None:
         """Makes the empty folder a replica's own and starts it."""
-        me = ReplicaId(self.spare_id)
+        me = ReplicaId(self.unassigned_replica_id)
         self.storage.create_identity(cluster, me)
         if me in membership.voters:
             first = Snapshot(1, 1, membership, "")
@@ -372,7 +383,7 @@
         if isinstance(wanted, Failure):
             raise FleetError(wanted)
         if wanted != node.core.membership:
-            done = await node.change_membership(wanted, COMMAND_SECONDS)
+            done = await node.change_membership(wanted, COMMAND_TIMEOUT_SECONDS)
             if isinstance(done, Err):
                 raise FleetError(done.err_value)
             logger.info("membership_changed", action=change.action)
@@ -419,7 +430,7 @@
             if app.settings.self_forming:
                 await stack.enter_async_context(_serve_operators(app, role))
                 app.tasks.spawn(role.cluster_manager.run())
-                app.tasks.spawn(role.service.sweep_forever())
+                app.tasks.spawn(role.service.watch_endpoints())
             yield role
 
 
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -75,7 +75,7 @@
         for queue in self.unsent.values():
             queue[word.endpoint] = word
 
-    def depart(self, endpoint: str) -> None:
+    def mark_departed(self, endpoint: str) -> None:
         """Takes in that an endpoint has left."""
         gone = self.table.mark_departed(endpoint, time.monotonic())
         if gone is not None:
@@ -83,7 +83,7 @@
             for queue in self.unsent.values():
                 queue[endpoint] = gone
 
-    def hear(self, words: list[Registration]) -> None:
+    def merge_updates(self, words: list[Registration]) -> None:
         """Takes in what another control host heard."""
         for word in words:
             self._merge(word)
@@ -109,7 +109,7 @@
         )
         self._wake()
 
-    def words_for(self, peer: str) -> list[Registration]:
+    def take_pending_updates(self, peer: str) -> list[Registration]:
         """Returns what was heard since the last announcement to a peer."""
         queue = self.unsent.get(peer)
         self.unsent[peer] = {}
@@ -117,11 +117,11 @@
             return list(self.table.all())
         return list(queue.values())
 
-    def words_lost(self, peer: str) -> None:
+    def resend_all(self, peer: str) -> None:
         """The announcement did not arrive: the next one tells all."""
         self.unsent.pop(peer, None)
 
-    async def sweep_forever(self) -> None:
+    async def watch_endpoints(self) -> None:
         """Finds endpoints that have fallen silent."""
         limit = SILENT_HEARTBEATS * self.settings.heartbeat_ms / 1000
         while True:
@@ -154,16 +154,18 @@
         """The replicated state moved on; gateways may want to know."""
         self._wake()
 
-    def newest(self) -> ConfigDocument | None:
+    def newest_config(self) -> ConfigDocument | None:
         """Returns the newest configuration applied here, confirmed or not."""
-        running = self.role.running
+        running = self.role.running_node
         return running.state.config if running is not None else None
 
-    async def accept(self, document: ConfigDocument) -> Result[None, Failure]:
+    async def put_config(
+        self, document: ConfigDocument
+    ) -> Result[None, Failure]:
         """Replicates a valid configuration; Ok once it can't be lost."""
         began = time.monotonic()
-        done = await self._at_leader(
-            self._accept_here,
+        done = await self._call_leader(
+            self._put_config_locally,
             paths.PUT_CONFIG_PATH,
             PutConfig(document),
             Empty,
@@ -176,27 +178,34 @@
         )
         return done
 
-    async def _accept_here(self, message: PutConfig) -> Result[Empty, Failure]:
-        node = self.role.running
+    async def _put_config_locally(
+        self, message: PutConfig
+    ) -> Result[Empty, Failure]:
+        node = self.role.running_node
         done = await node.execute(
             AcceptConfig(message.document, time.time()), COMMIT_SECONDS
         )
         return done if isinstance(done, Err) else Ok(Empty())
 
-    async def read(self) -> Result[StoredConfig, Failure]:
+    async def read_config(self) -> Result[StoredConfig, Failure]:
         """Returns the newest configuration, confirmed by a quorum."""
-        return await self._at_leader(
-            self._read_here, paths.READ_CONFIG_PATH, Empty(), StoredConfig
+        return await self._call_leader(
+            self._read_config_locally,
+            paths.READ_CONFIG_PATH,
+            Empty(),
+            StoredConfig,
         )
 
-    async def _read_here(self, _: Empty) -> Result[StoredConfig, Failure]:
-        node = self.role.running
-        confirmed = await node.confirm(CONFIRM_SECONDS)
+    async def _read_config_locally(
+        self, _: Empty
+    ) -> Result[StoredConfig, Failure]:
+        node = self.role.running_node
+        confirmed = await node.confirm_leadership(CONFIRM_SECONDS)
         if isinstance(confirmed, Err):
             return confirmed
         return Ok(StoredConfig(node.state.config))
 
-    async def _at_leader(self, here, path, message, reply) -> Result:
+    async def _call_leader(self, here, path, message, reply) -> Result:
         """Runs a call on the leader: here, or by one hop.
 
         A host that leads no more says so, and the call goes on to the one
@@ -219,21 +228,23 @@
                 return done
             await asyncio.sleep(0.05)
 
-    async def on_put(self, message: PutConfig) -> Result[Empty, Failure]:
+    async def on_put_config(self, message: PutConfig) -> Result[Empty, Failure]:
         """A call of another control host."""
-        if not self.role.leads():
+        if not self.role.is_leader():
             return Err(self._not_leader())
-        return await self._accept_here(message)
+        return await self._put_config_locally(message)
 
-    async def on_read(self, message: Empty) -> Result[StoredConfig, Failure]:
+    async def on_read_config(
+        self, message: Empty
+    ) -> Result[StoredConfig, Failure]:
         """A call of another control host."""
-        if not self.role.leads():
+        if not self.role.is_leader():
             return Err(self._not_leader())
-        return await self._read_here(message)
+        return await self._read_config_locally(message)
 
     def _not_leader(self) -> Failure:
-        if self.role.running is not None:
-            return self.role.running.not_leader()
+        if self.role.running_node is not None:
+            return self.role.running_node.not_leader()
         return failure(Kind.NOT_LEADER, "this control host holds no replica")
 
     # Gateways.
@@ -255,20 +266,22 @@
             except TimeoutError:
                 break
         confirmed = False
-        if self.role.leads():
-            done = await self.role.running.confirm(CONFIRM_SECONDS)
+        if self.role.is_leader():
+            done = await self.role.running_node.confirm_leadership(
+                CONFIRM_SECONDS
+            )
             confirmed = isinstance(done, Ok)
         return self._reply(asked, confirmed)
 
     def _has_news(self, asked: SyncRequest) -> bool:
-        newest = self.newest()
+        newest = self.newest_config()
         if newest is not None and newest.version > asked.version:
             return True
         return asked.epoch != self.epoch or asked.cursor < self.cursor
 
     def _reply(self, asked: SyncRequest, confirmed: bool) -> SyncReply:
         after = asked.cursor if asked.epoch == self.epoch else 0
-        newest = self.newest()
+        newest = self.newest_config()
         version = newest.version if newest is not None else 0
         return SyncReply(
             self.epoch,
--- a/packages/fleet/src/marjoramyard/fleet/control/storage.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/storage.py
@@ -108,7 +108,7 @@
     return records, offset
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """Makes renames and removals in a folder last."""
     handle = os.open(folder, os.O_RDONLY)
     try:
@@ -117,7 +117,7 @@
         os.close(handle)
 
 
-def write_synced(path: Path, data: bytes) -> None:
+def replace_file(path: Path, data: bytes) -> None:
     """Replaces a file so that a crash leaves the old or the new one."""
     temporary = path.with_suffix(".tmp")
     with temporary.open("wb") as file:
@@ -125,7 +125,7 @@
         file.flush()
         os.fsync(file.fileno())
     temporary.rename(path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
 class Storage:
@@ -137,7 +137,7 @@
         self.wal = None
         self.wal_path: Path | None = None
         self.bytes_written = 0
-        self.syncs = 0
+        self.sync_count = 0
 
     # Identity.
 
@@ -163,7 +163,7 @@
     def create_identity(self, cluster: str, replica: ReplicaId) -> None:
         """Makes the folder a replica's own."""
         self.identity = Identity(FORMAT_VERSION, cluster, replica)
-        write_synced(
+        replace_file(
             self.folder / "identity.json", msgspec.json.encode(self.identity)
         )
 
@@ -218,14 +218,14 @@
 
     # Writing.
 
-    def write(self, hard: HardState | None, entries: list[LogEntry]) -> None:
+    def append(self, hard: HardState | None, entries: list[LogEntry]) -> None:
         """Appends one batch and syncs it."""
         data = encode_record(WalRecord(hard, entries))
         self.wal.write(data)
         self.wal.flush()
         os.fsync(self.wal.fileno())
         self.bytes_written += len(data)
-        self.syncs += 1
+        self.sync_count += 1
 
     def save_snapshot(
         self, snapshot: Snapshot, hard: HardState, entries: list[LogEntry]
@@ -234,7 +234,7 @@
         payload = msgspec.json.encode(snapshot)
         header = _HEADER.pack(len(payload), zlib.crc32(payload))
         path = self.folder / f"snapshot-{snapshot.index:016d}.json"
-        write_synced(path, header + payload)
+        replace_file(path, header + payload)
         self._start_wal(StoredState(hard, snapshot, entries))
         for old in sorted(self.folder.glob("snapshot-*.json"))[:-1]:
             old.unlink()
@@ -246,7 +246,7 @@
         base = (stored.snapshot.index, stored.snapshot.term)
         record = WalRecord(stored.hard, stored.entries, base)
         path = self.folder / f"wal-{number:016d}.log"
-        write_synced(path, encode_record(record))
+        replace_file(path, encode_record(record))
         if self.wal is not None:
             self.wal.close()
         self.wal = path.open("r+b")
@@ -255,13 +255,13 @@
         for old in sorted(self.folder.glob("wal-*.log"))[:-1]:
             old.unlink()
 
-    def probe(self) -> None:
+    def check_writable(self) -> None:
         """Checks that the folder takes writes.
 
         Raises:
             OSError: It does not.
         """
-        write_synced(self.folder / "probe", b"probe")
+        replace_file(self.folder / "probe", b"probe")
 
     def close(self) -> None:
         """Closes the log file."""
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -141,7 +141,7 @@
     async def drain(self) -> None:
         """Takes no new request and waits for those that it has."""
         self.leaving = True
-        self.membership.announce_soon()
+        self.membership.announce_now()
         while self.active:
             await asyncio.sleep(_DRAIN_POLL)
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/following.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/following.py
@@ -47,7 +47,7 @@
 
     def wanted(self) -> set[str]:
         """Returns the internal addresses to ask."""
-        return self.view.control_addresses | set(self.settings.seed_peers())
+        return self.view.control_addresses | set(self.settings.seed_addresses())
 
     def _spare_capacity(self) -> float:
         """Returns the cores that brokering may use; a leaving host has none."""
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -24,8 +24,8 @@
 
 logger = get_logger(__name__)
 
-POLL_SECONDS = 2.5
-_ANSWER_SECONDS = POLL_SECONDS + 2.0
+RENEWAL_WAIT_SECONDS = 2.5
+_ANSWER_SECONDS = RENEWAL_WAIT_SECONDS + 2.0
 _MIN_BACKOFF = 0.1
 _MAX_BACKOFF = 0.6
 _BUNDLE_LOST = -1
@@ -92,7 +92,7 @@
         left = until - time.monotonic()
         return left if left > 0 else None
 
-    def announce_soon(self) -> None:
+    def announce_now(self) -> None:
         """Has the next announcement sent without waiting for the poll."""
         self.changed.set()
 
@@ -116,7 +116,7 @@
             self.row(),
             self.bundle.version,
             self.bundle.chain,
-            POLL_SECONDS,
+            RENEWAL_WAIT_SECONDS,
             self.directory_epoch,
             self.directory_version,
             self.suspects_revision,
--- a/packages/fleet/src/marjoramyard/fleet/settings.py
+++ b/packages/fleet/src/marjoramyard/fleet/settings.py
@@ -27,7 +27,7 @@
             found[f"seeds[{place}]"] = text
         return found
 
-    def seed_peers(self) -> list[str]:
+    def seed_addresses(self) -> list[str]:
         """Returns the internal addresses of the seeds."""
         hosts = [seed.rpartition(":")[0] for seed in self.seeds]
         return [f"{host}:{self.peer_port}" for host in hosts]
@@ -63,7 +63,7 @@
     metrics_listen: str = ""
 
     @property
-    def voters(self) -> int:
+    def voter_count(self) -> int:
         """How many replicas a quorum is counted from."""
         return 2 * self.losses + 1
 
--- a/packages/fleet/tests/control/test_renewal_server.py
+++ b/packages/fleet/tests/control/test_renewal_server.py
@@ -5,9 +5,9 @@
 
 from marjoramyard.coordination.governance.lease import LEASE_SECONDS
 from marjoramyard.coordination.governance.state import ControlState
-from marjoramyard.fleet.control.node import ELECTION_SECONDS
+from marjoramyard.fleet.control.node import MAX_ELECTION_SECONDS
 from marjoramyard.fleet.control.renewal_server import RenewalServer
-from marjoramyard.fleet.membership import POLL_SECONDS
+from marjoramyard.fleet.membership import RENEWAL_WAIT_SECONDS
 
 
 def make_renewals():
@@ -59,11 +59,11 @@
     election of up to 2.4 s, and an entry refused work for a moment.
     """
     renewals, _ = make_renewals()
-    used = 2 * renewals.wait_seconds(POLL_SECONDS)
-    assert LEASE_SECONDS - used > 2 * ELECTION_SECONDS
+    used = 2 * renewals.wait_seconds(RENEWAL_WAIT_SECONDS)
+    assert LEASE_SECONDS - used > 2 * MAX_ELECTION_SECONDS
 
 
 def test_many_routers_wait_longer_but_within_their_poll():
     renewals, _ = make_renewals()
     renewals.waiters.update(asyncio.Event() for _ in range(8000))
-    assert renewals.wait_seconds(POLL_SECONDS) == POLL_SECONDS
+    assert renewals.wait_seconds(RENEWAL_WAIT_SECONDS) == RENEWAL_WAIT_SECONDS
--- a/packages/fleet/tests/control/test_storage.py
+++ b/packages/fleet/tests/control/test_storage.py
@@ -27,7 +27,7 @@
     with open_storage(folder) as storage:
         storage.load()
         for index in range(1, count + 1):
-            storage.write(HardState(1, "a"), [entry(index)])
+            storage.append(HardState(1, "a"), [entry(index)])
         return storage.wal_path
 
 
@@ -67,7 +67,7 @@
     path.write_bytes(path.read_bytes()[:-5])
     with open_storage(tmp_path) as storage:
         assert len(storage.load().entries) == 2
-        storage.write(None, [entry(3, term=2)])
+        storage.append(None, [entry(3, term=2)])
     assert [e.term for e in reload(tmp_path).entries] == [1, 1, 2]
 
 
@@ -98,7 +98,7 @@
         stored = storage.load()
         snapshot = Snapshot(4, 1, data="state")
         storage.save_snapshot(snapshot, stored.hard, stored.entries[4:])
-        storage.write(None, [entry(6)])
+        storage.append(None, [entry(6)])
     stored = reload(tmp_path)
     assert stored.snapshot == snapshot
     assert [e.index for e in stored.entries] == [5, 6]
--- a/packages/fleet/tests/control/test_storage_failure.py
+++ b/packages/fleet/tests/control/test_storage_failure.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def host(tmp_path, monkeypatch):
-    monkeypatch.setattr(control, "_REOPEN_SECONDS", 0.01)
+    monkeypatch.setattr(control, "_STORAGE_RETRY_SECONDS", 0.01)
     settings = ControlSettings(
         role="control",
         name="c",
@@ -40,13 +40,13 @@
                     client=None,
                 )
                 running = control.ControlRole(app, storage)
-                me = ReplicaId(running.spare_id)
+                me = ReplicaId(running.unassigned_replica_id)
                 running.initialise(
                     "cluster", Membership((me,), (), {me: "127.0.0.1:9"})
                 )
 
                 async def leads():
-                    return running.leads()
+                    return running.is_leader()
 
                 await until(leads, "a leader")
                 yield running
@@ -58,8 +58,8 @@
     def full(*_):
         raise OSError(errno.ENOSPC, "no space left")
 
-    monkeypatch.setattr(storage, "write", full)
-    monkeypatch.setattr(storage, "probe", full)
+    monkeypatch.setattr(storage, "append", full)
+    monkeypatch.setattr(storage, "check_writable", full)
 
 
 async def test_a_full_disk_refuses_and_loses_nothing(host, monkeypatch):
@@ -70,18 +70,18 @@
     takes writes again, and so is service, without a restart.
     """
     first, second = ConfigDocument(1, b"one"), ConfigDocument(2, b"two")
-    assert isinstance(await host.service.accept(first), Ok)
+    assert isinstance(await host.service.put_config(first), Ok)
     with monkeypatch.context() as patched:
         refuse_writes(host.storage, patched)
-        assert isinstance(await host.service.accept(second), Err)
-        assert not host.leads()
-        assert host.running is None
+        assert isinstance(await host.service.put_config(second), Err)
+        assert not host.is_leader()
+        assert host.running_node is None
 
     async def leads():
-        return host.leads()
+        return host.is_leader()
 
     await until(leads, "the replica to start anew")
-    read = await host.service.read()
+    read = await host.service.read_config()
     assert read.ok_value.document in (first, second)
-    assert isinstance(await host.service.accept(second), Ok)
-    assert host.service.newest() == second
+    assert isinstance(await host.service.put_config(second), Ok)
+    assert host.service.newest_config() == second
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -186,7 +186,7 @@
     poll = asyncio.ensure_future(router._renew_once())
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    router.announce_soon()
+    router.announce_now()
     assert await poll
 
 
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -82,16 +82,16 @@
     def register(self, word):
         self.words.append(word)
 
-    def depart(self, endpoint):
+    def mark_departed(self, endpoint):
         self.departed.append(endpoint)
 
-    async def accept(self, document):
+    async def put_config(self, document):
         if not self.quorum:
             return Err(failure(Kind.NO_QUORUM, "none"))
         self.document = document
         return Ok(None)
 
-    async def read(self):
+    async def read_config(self):
         if not self.quorum:
             return Err(failure(Kind.NO_QUORUM, "none"))
         return Ok(StoredConfig(self.document))
--- a/tests/soak/misbehaving.py
+++ b/tests/soak/misbehaving.py
@@ -49,8 +49,8 @@
 def setup(app) -> None:
     """Puts the faults between the control host and its folder and clock."""
     path = path_of(Path(app.settings.data_folder))
-    write_batch = storage.Storage.write
-    write_file = storage.write_synced
+    write_batch = storage.Storage.append
+    write_file = storage.replace_file
     time_of_day = time.time
 
     def suffer() -> None:
@@ -67,6 +67,6 @@
         suffer()
         write_file(*args)
 
-    storage.Storage.write = slow_write
-    storage.write_synced = slow_file
+    storage.Storage.append = slow_write
+    storage.replace_file = slow_file
     time.time = lambda: time_of_day() + read(path).clock_seconds
