--- a/packages/fleet/src/marjoramyard/fleet/control/dialects.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/dialects.py
@@ -1,4 +1,4 @@
-"""Whose names endpoints and operators use when they call a control host."""
+"""The public HTTP interfaces of a control host, one per dialect."""
 
 from collections.abc import Callable
 
@@ -18,43 +18,46 @@
 OPERATOR_DIALECTS: Registry[Callable[[FleetService], list[web.RouteDef]]] = (
     Registry("dialect")
 )
-"""The routes of a control host's public address, by dialect."""
+"""Make the routes of a control host's public address, by dialect."""
 
 MAX_DOCUMENT_BYTES = 16 << 20
 
 
 @OPERATOR_DIALECTS.register("native")
 def native_routes(service: FleetService) -> list[web.RouteDef]:
-    """Our own names: typed JSON bodies of the types used inside."""
+    """Returns the routes of the native dialect.
+
+    Bodies are JSON in the form of the internal message types.
+    """
 
     async def put_config(request: web.Request) -> web.Response:
-        text = await request.read()
-        config = msgspec.json.decode(text, type=FleetConfig)
+        body = await request.read()
+        config = msgspec.json.decode(body, type=FleetConfig)
         problems = config.problems()
         if problems:
             raise_failure(Kind.INVALID_BUNDLE, "; ".join(problems))
-        done = await service.put_config(ConfigDocument(config.version, text))
-        if isinstance(done, Err):
-            raise FleetError(done.err_value)
+        result = await service.put_config(ConfigDocument(config.version, body))
+        if isinstance(result, Err):
+            raise FleetError(result.err_value)
         return json_response(Empty())
 
     async def get_config(_: web.Request) -> web.Response:
-        done = await service.read_config()
-        if isinstance(done, Err):
-            raise FleetError(done.err_value)
-        if done.ok_value.document is None:
+        result = await service.read_config()
+        if isinstance(result, Err):
+            raise FleetError(result.err_value)
+        if result.ok_value.document is None:
             raise_failure(
                 Kind.UNINITIALISED, "no configuration yet; send the first one"
             )
         return web.Response(
-            body=done.ok_value.document.text, content_type="application/json"
+            body=result.ok_value.document.text, content_type="application/json"
         )
 
     async def register(request: web.Request) -> web.Response:
         service.register(await read_message(request, Registration))
         return json_response(Empty())
 
-    async def depart(request: web.Request) -> web.Response:
+    async def deregister(request: web.Request) -> web.Response:
         service.mark_departed(request.match_info["endpoint"])
         return json_response(Empty())
 
@@ -62,5 +65,5 @@
         web.put("/fleet-config", put_config),
         web.get("/fleet-config", get_config),
         web.put("/registrations/{endpoint}", register),
-        web.delete("/registrations/{endpoint}", depart),
+        web.delete("/registrations/{endpoint}", deregister),
     ]
--- a/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
@@ -1,4 +1,4 @@
-"""The internal calls among self-forming control hosts and of gateways."""
+"""Internal HTTP routes for other control hosts and for gateways."""
 
 from aiohttp import web
 from result import Err, Result
@@ -19,7 +19,7 @@
 def fleet_routes(
     cluster_manager: ClusterManager, service: FleetService
 ) -> list[web.RouteDef]:
-    """Returns the calls that a control host answers for the fleet."""
+    """Returns the routes of announcements, syncs and the configuration."""
 
     async def announce(request: web.Request) -> web.Response:
         message = await read_message(request, HostAnnouncement)
@@ -31,10 +31,10 @@
 
     async def put_config(request: web.Request) -> web.Response:
         message = await read_message(request, PutConfig)
-        return _answer(await service.on_put_config(message))
+        return _result_response(await service.on_put_config(message))
 
     async def read_config(_: web.Request) -> web.Response:
-        return _answer(await service.on_read_config(Empty()))
+        return _result_response(await service.on_read_config(Empty()))
 
     return [
         web.post(paths.ANNOUNCE_PATH, announce),
@@ -44,7 +44,7 @@
     ]
 
 
-def _answer(done: Result) -> web.Response:
-    if isinstance(done, Err):
-        raise FleetError(done.err_value)
-    return json_response(done.ok_value)
+def _result_response(result: Result) -> web.Response:
+    if isinstance(result, Err):
+        raise FleetError(result.err_value)
+    return json_response(result.ok_value)
--- a/packages/fleet/src/marjoramyard/fleet/control/queries.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/queries.py
@@ -1,4 +1,4 @@
-"""What operators and auditors may ask of a confirmed leader."""
+"""Read-only queries that operators and auditors send to the leader."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 
 QueryHandler = Callable[[ControlNode, RenewalServer, str], Any]
 QUERIES: Registry[QueryHandler] = Registry("subject")
-"""A new question is a function registered under its subject."""
+"""The query handlers, by subject."""
 
 
 @QUERIES.register("bundle")
@@ -52,8 +52,8 @@
 
 
 @QUERIES.register("directory")
-def _directory(_: ControlNode, renewals: RenewalServer, __: str) -> Any:
-    return msgspec.to_builtins(list(renewals.directory.rows.values()))
+def _directory(_: ControlNode, renewal_server: RenewalServer, __: str) -> Any:
+    return msgspec.to_builtins(list(renewal_server.directory.rows.values()))
 
 
 @QUERIES.register("orders")
--- a/packages/fleet/src/marjoramyard/fleet/control/signatures.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/signatures.py
@@ -1,4 +1,4 @@
-"""Ed25519 signatures of operators; imported only where keys are used."""
+"""Ed25519 signatures of operators."""
 
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives import serialization
@@ -12,7 +12,7 @@
 
 
 def make_private_key() -> str:
-    """Returns a new private key in hex."""
+    """Returns a new private key, in hex."""
     return (
         Ed25519PrivateKey.generate()
         .private_bytes(
@@ -25,19 +25,22 @@
 
 
 def public_key_of(private_key: str) -> str:
-    """Returns the public key of a private one, both in hex."""
+    """Returns the public key of a private key, both in hex."""
     key = Ed25519PrivateKey.from_private_bytes(bytes.fromhex(private_key))
     return key.public_key().public_bytes_raw().hex()
 
 
 def sign(private_key: str, data: bytes) -> str:
-    """Returns a signature in hex."""
+    """Returns the signature of the data, in hex."""
     key = Ed25519PrivateKey.from_private_bytes(bytes.fromhex(private_key))
     return key.sign(data).hex()
 
 
 def is_valid(public_key: str, signature: str, data: bytes) -> bool:
-    """Returns whether a signature is the key's, over the data."""
+    """Returns whether a signature of the data matches a public key.
+
+    Malformed keys and signatures in hex do not match.
+    """
     try:
         key = Ed25519PublicKey.from_public_bytes(bytes.fromhex(public_key))
         key.verify(bytes.fromhex(signature), data)
@@ -47,10 +50,10 @@
 
 
 class OperatorKeys:
-    """Whose signature counts.
+    """The public keys of operators and their roles.
 
-    That is the bundle's operators', or the settings' operators' for as long
-    as no bundle is in force.
+    The keys are those of the bundle in force; until the first one, those of
+    the setting `bootstrap_operators`, which have every role.
     """
 
     def __init__(self, bootstrap: dict[str, str]):
@@ -64,7 +67,18 @@
         signature: str,
         data: bytes,
     ) -> Failure | None:
-        """Returns why a signature does not count, or None."""
+        """Checks an operator's signature.
+
+        Args:
+            view: The bundle in force.
+            operator: The name of the operator.
+            role: The role that the operator must have.
+            signature: The signature, in hex.
+            data: The signed bytes.
+
+        Returns:
+            Why the signature is refused; None if it is valid.
+        """
         key = self.bootstrap.get(operator) if view.version == 0 else None
         known = view.operators.get(operator)
         if known is not None and role in known.roles:
@@ -72,13 +86,13 @@
         if key is None:
             return failure(
                 Kind.INVALID_SIGNATURE,
-                f"{operator} is no {role}; an operator with that role signs, "
-                "or the bundle's operators are changed first",
+                f"{operator} does not have the role {role}; sign as an "
+                "operator who has it, or add the role to the bundle first",
             )
         if not is_valid(key, signature, data):
             return failure(
                 Kind.INVALID_SIGNATURE,
-                f"the signature is not {operator}'s; sign with the key that "
-                "the bundle names",
+                f"the signature does not match {operator}'s key; sign with "
+                "the key that the bundle names",
             )
         return None
--- a/packages/fleet/src/marjoramyard/fleet/control/storage.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/storage.py
@@ -1,4 +1,4 @@
-"""The data folder: checksummed, synced records and snapshots."""
+"""The data folder of a replica: write-ahead log, snapshots and identity."""
 
 import fcntl
 import os
@@ -25,15 +25,19 @@
 
 FORMAT_VERSION = 1
 _HEADER = struct.Struct("<II")
-_MAX_RECORD = 1 << 30
+_MAX_RECORD_BYTES = 1 << 30
 
 
 class StorageError(RuntimeError):
-    """The folder can't be used; the message says why and what to do."""
+    """The data folder can't be used; the message names the remedy."""
 
 
 class Identity(msgspec.Struct):
-    """Whose folder it is."""
+    """The replica that a data folder belongs to.
+
+    Attributes:
+        format: The version of the storage format.
+    """
 
     format: int
     cluster: str
@@ -41,10 +45,12 @@
 
 
 class WalRecord(msgspec.Struct, omit_defaults=True):
-    """One batch; it is written and checked as a whole.
+    """One batch of the write-ahead log, with one checksum.
 
     Attributes:
-        base: In a file's first record: the snapshot it goes on from.
+        hard: The hard state (term and vote), if it changed.
+        base: Index and term of the snapshot that precedes the log file; only
+            in a file's first record.
     """
 
     hard: HardState | None = None
@@ -53,19 +59,24 @@
 
 
 def encode_record(record: WalRecord) -> bytes:
-    """Returns a record with its length and checksum before it."""
+    """Returns an encoded record, prefixed by its length and checksum."""
     payload = msgspec.json.encode(record)
     return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def _record_at(data: bytes, offset: int) -> tuple[bytes, int] | None:
-    """Returns the payload at an offset and where the next record starts."""
+def _read_record(data: bytes, offset: int) -> tuple[bytes, int] | None:
+    """Reads the record at an offset.
+
+    Returns:
+        Its payload and the offset of the next record; None if no complete
+        record with a valid checksum starts there.
+    """
     if offset + _HEADER.size > len(data):
         return None
     size, checksum = _HEADER.unpack_from(data, offset)
     start = offset + _HEADER.size
     payload = data[start : start + size]
-    if size == 0 or size > _MAX_RECORD or len(payload) < size:
+    if size == 0 or size > _MAX_RECORD_BYTES or len(payload) < size:
         return None
     if zlib.crc32(payload) != checksum:
         return None
@@ -74,34 +85,40 @@
 
 def _has_record_after(data: bytes, offset: int) -> bool:
     return any(
-        _record_at(data, place) is not None
-        for place in range(offset + 1, len(data) - _HEADER.size)
+        _read_record(data, position) is not None
+        for position in range(offset + 1, len(data) - _HEADER.size)
     )
 
 
 def read_records(data: bytes, name: str) -> tuple[list[WalRecord], int]:
-    """Reads all records and returns them with the length that is good.
+    """Reads the records of a log file.
+
+    An invalid record at the end is a torn write that was never acknowledged,
+    and is ignored. An invalid record that is followed by a valid one was
+    synced and damaged later; ignoring it would lose acknowledged entries.
 
-    A batch is one record and was acknowledged only once it was synced, so
-    a broken record at the very end is a torn write that nobody relies on.
-    A broken record with a good one behind it was synced and then damaged:
-    going on would lose acknowledged entries.
+    Args:
+        data: The content of the file.
+        name: The name of the file, for messages.
+
+    Returns:
+        The records and the length in bytes of the valid part.
 
     Raises:
-        StorageError: A record in the middle is damaged.
+        StorageError: A record before the last one is damaged.
     """
     records = []
     offset = 0
     while offset < len(data):
-        found = _record_at(data, offset)
+        found = _read_record(data, offset)
         if found is None:
             if _has_record_after(data, offset):
                 raise StorageError(
-                    f"{name}: damaged at byte {offset}, with good records "
-                    "behind it; take the host out and replace it with "
+                    f"{name}: damaged at byte {offset}, before valid "
+                    "records; stop this host and replace it with "
                     "`marjoramctl cluster replace`"
                 )
-            logger.warning("torn_tail_cut", file=name, offset=offset)
+            logger.warning("torn_write_discarded", file=name, offset=offset)
             break
         payload, offset = found
         records.append(msgspec.json.decode(payload, type=WalRecord))
@@ -109,16 +126,19 @@
 
 
 def sync_directory(folder: Path) -> None:
-    """Makes renames and removals in a folder last."""
-    handle = os.open(folder, os.O_RDONLY)
+    """Syncs the entries of a folder, so that renames survive a crash."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replaces a file so that a crash leaves the old or the new one."""
+    """Replaces a file atomically and syncs it.
+
+    After a crash, the file has either its old or its new content.
+    """
     temporary = path.with_suffix(".tmp")
     with temporary.open("wb") as file:
         file.write(data)
@@ -129,7 +149,15 @@
 
 
 class Storage:
-    """One replica's folder. Nothing is acknowledged before `write` is back."""
+    """The data folder of one replica.
+
+    Entries may be acknowledged once `append` has returned.
+
+    Attributes:
+        wal: The open log file (write-ahead log), if any.
+        bytes_written: Bytes appended since the start of the process.
+        sync_count: Appends, each with a sync, since the start of the process.
+    """
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -142,26 +170,33 @@
     # Identity.
 
     def load_identity(self) -> Identity | None:
-        """Reads whose folder it is; None if it is empty."""
+        """Reads the identity; returns None if the folder is empty.
+
+        Raises:
+            StorageError: The identity is missing beside a log, or has another
+                format.
+        """
         path = self.folder / "identity.json"
         if not path.exists():
             if any(self.folder.glob("wal-*")):
                 raise StorageError(
-                    f"{self.folder}: has a log but no identity.json; restore "
-                    "it, or empty the folder and replace the host"
+                    f"{self.folder}: contains a log but no identity.json; "
+                    "restore the file, or empty the folder and replace the "
+                    "host"
                 )
             return None
         identity = msgspec.json.decode(path.read_bytes(), type=Identity)
         if identity.format != FORMAT_VERSION:
             raise StorageError(
-                f"{self.folder}: format {identity.format} is not of this "
-                f"release ({FORMAT_VERSION}); run the release that wrote it"
+                f"{self.folder}: format {identity.format} is not supported "
+                f"by this release (format {FORMAT_VERSION}); run the release "
+                "that wrote it"
             )
         self.identity = identity
         return identity
 
     def create_identity(self, cluster: str, replica: ReplicaId) -> None:
-        """Makes the folder a replica's own."""
+        """Stores the identity of a new replica in an empty folder."""
         self.identity = Identity(FORMAT_VERSION, cluster, replica)
         replace_file(
             self.folder / "identity.json", msgspec.json.encode(self.identity)
@@ -170,7 +205,11 @@
     # Reading.
 
     def load(self) -> StoredState:
-        """Reads the stored state and opens the log for writing."""
+        """Reads the stored state and opens the log for appending.
+
+        Raises:
+            StorageError: The snapshot or the log is damaged.
+        """
         snapshot = self._load_snapshot()
         paths = sorted(self.folder.glob("wal-*.log"))
         if not paths:
@@ -179,11 +218,11 @@
             return stored
         path = paths[-1]
         data = path.read_bytes()
-        records, good = read_records(data, path.name)
+        records, valid_size = read_records(data, path.name)
         stored = self._replay(snapshot, records)
         self.wal = path.open("r+b")
-        self.wal.truncate(good)
-        self.wal.seek(good)
+        self.wal.truncate(valid_size)
+        self.wal.seek(valid_size)
         os.fsync(self.wal.fileno())
         self.wal_path = path
         return stored
@@ -192,7 +231,7 @@
         paths = sorted(self.folder.glob("snapshot-*.json"))
         if not paths:
             return Snapshot()
-        found = _record_at(paths[-1].read_bytes(), 0)
+        found = _read_record(paths[-1].read_bytes(), 0)
         if found is None:
             raise StorageError(
                 f"{paths[-1].name}: damaged; replace the host with "
@@ -211,15 +250,19 @@
             if record.entries:
                 log.append(record.entries)
         if log.snapshot.index < snapshot.index:
-            # A crash came between a snapshot and the log file that goes on
-            # from it. Entries of another line of history are dropped.
+            # A crash occurred after a snapshot was stored and before its log
+            # file was. Entries that conflict with the snapshot are dropped.
             log.compact(snapshot)
         return StoredState(hard, snapshot, log.entries)
 
     # Writing.
 
     def append(self, hard: HardState | None, entries: list[LogEntry]) -> None:
-        """Appends one batch and syncs it."""
+        """Appends one batch to the log and syncs it.
+
+        Raises:
+            OSError: How much of the batch is on disk is unknown.
+        """
         data = encode_record(WalRecord(hard, entries))
         self.wal.write(data)
         self.wal.flush()
@@ -230,7 +273,13 @@
     def save_snapshot(
         self, snapshot: Snapshot, hard: HardState, entries: list[LogEntry]
     ) -> None:
-        """Stores a snapshot, then a log file that goes on from it."""
+        """Stores a snapshot and starts a log file after it.
+
+        Args:
+            snapshot: The snapshot; it replaces older ones.
+            hard: The current hard state.
+            entries: The log entries after the snapshot.
+        """
         payload = msgspec.json.encode(snapshot)
         header = _HEADER.pack(len(payload), zlib.crc32(payload))
         path = self.folder / f"snapshot-{snapshot.index:016d}.json"
@@ -256,10 +305,10 @@
             old.unlink()
 
     def check_writable(self) -> None:
-        """Checks that the folder takes writes.
+        """Checks that files can be written and synced in the folder.
 
         Raises:
-            OSError: It does not.
+            OSError: They can't.
         """
         replace_file(self.folder / "probe", b"probe")
 
@@ -271,16 +320,16 @@
 
 
 def new_replica_id(name: str) -> ReplicaId:
-    """Returns an id for a folder that was empty until now."""
+    """Returns a unique replica id for a host with an empty data folder."""
     return ReplicaId(f"{name}~{secrets.token_hex(4)}")
 
 
 @contextmanager
 def open_storage(folder: Path) -> Iterator[Storage]:
-    """Owns a data folder; a second process is turned away.
+    """Opens a data folder and locks it for this process.
 
     Raises:
-        StorageError: Another process has the folder.
+        StorageError: Another process has locked the folder.
     """
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / "lock").open("w") as lock:
@@ -288,7 +337,7 @@
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             raise StorageError(
-                f"{folder}: another process uses it; stop that one first"
+                f"{folder}: locked by another process; stop that process first"
             ) from None
         storage = Storage(folder)
         try:
--- a/packages/fleet/tests/control/test_storage.py
+++ b/packages/fleet/tests/control/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: synced, torn, damaged, shared, replaced."""
+"""The data folder: torn writes, damage, locking and snapshots."""
 
 import pytest
 from hypothesis import given
@@ -44,11 +44,8 @@
 
 
 @given(st.integers(1, 400))
-def test_a_torn_tail_is_cut_and_no_whole_record_is_lost(cut):
-    """Power fails while a batch is being written.
-
-    It was not acknowledged, so it may go; all before it was, and stays.
-    """
+def test_a_torn_write_is_discarded_and_complete_records_are_kept(cut):
+    """Guards against a power failure that loses acknowledged batches."""
     records = [WalRecord(entries=[entry(n)]) for n in range(1, 6)]
     data = b"".join(encode_record(record) for record in records)
     cut = min(cut, len(data))
@@ -56,13 +53,13 @@
     for record in records:
         end += len(encode_record(record))
         ends.append(end)
-    found, good = read_records(data[:-cut], "wal")
-    whole = [end for end in ends if end <= len(data) - cut]
-    assert len(found) == len(whole)
-    assert good == (whole[-1] if whole else 0)
+    found, valid_size = read_records(data[:-cut], "wal")
+    complete = [end for end in ends if end <= len(data) - cut]
+    assert len(found) == len(complete)
+    assert valid_size == (complete[-1] if complete else 0)
 
 
-def test_a_torn_tail_does_not_spoil_what_is_written_after(tmp_path):
+def test_a_torn_write_does_not_damage_later_records(tmp_path):
     path = fill(tmp_path, 3)
     path.write_bytes(path.read_bytes()[:-5])
     with open_storage(tmp_path) as storage:
@@ -71,21 +68,18 @@
     assert [e.term for e in reload(tmp_path).entries] == [1, 1, 2]
 
 
-def test_a_damaged_middle_is_refused_with_the_remedy(tmp_path):
-    """A sector goes bad under entries that were acknowledged long ago.
-
-    Cutting the log there, as for a torn tail, would forget them silently.
-    """
+def test_damage_before_valid_records_is_refused_with_the_remedy(tmp_path):
+    """Guards against a damaged sector that silently drops later entries."""
     path = fill(tmp_path, 5)
     data = bytearray(path.read_bytes())
-    place = data.find(b"value-2")
-    data[place] ^= 0xFF
+    position = data.find(b"value-2")
+    data[position] ^= 0xFF
     path.write_bytes(data)
     with pytest.raises(StorageError, match="cluster replace"):
         reload(tmp_path)
 
 
-def test_a_second_process_is_turned_away(tmp_path):
+def test_a_second_process_is_refused(tmp_path):
     with open_storage(tmp_path):
         with pytest.raises(StorageError, match="another process"):
             with open_storage(tmp_path):
@@ -106,7 +100,7 @@
 
 
 def test_a_crash_between_snapshot_and_log_loses_nothing(tmp_path):
-    """The snapshot is in place, the log file that goes on from it is not."""
+    """The snapshot has been stored, the log file after it has not."""
     fill(tmp_path, 5)
     with open_storage(tmp_path) as storage:
         stored = storage.load()
@@ -118,10 +112,10 @@
     assert [e.index for e in stored.entries] == [4, 5]
 
 
-def test_another_line_of_history_is_dropped_behind_an_installed_snapshot(
+def test_entries_that_conflict_with_an_installed_snapshot_are_dropped(
     tmp_path,
 ):
-    """A snapshot came from the leader; old entries are of a lost term."""
+    """The leader's snapshot is of a later term than the stored entries."""
     fill(tmp_path, 5)
     with open_storage(tmp_path) as storage:
         storage.load()
@@ -131,7 +125,7 @@
 
 
 def test_a_log_without_its_identity_is_refused(tmp_path):
-    """Somebody restored half a folder. Voting with it could be a lie."""
+    """Guards against votes from a data folder that was restored in part."""
     fill(tmp_path, 1)
     with open_storage(tmp_path) as storage:
         with pytest.raises(StorageError, match=r"identity\.json"):
--- a/packages/fleet/tests/control/test_storage_failure.py
+++ b/packages/fleet/tests/control/test_storage_failure.py
@@ -1,4 +1,4 @@
-"""A disk that refuses writes, and takes them again."""
+"""A disk that refuses writes for a time."""
 
 import errno
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 
 from marjoramyard.coordination.consensus.messages import Membership
 from marjoramyard.coordination.governance.commands import ConfigDocument
-from marjoramyard.fleet.control import role as control
+from marjoramyard.fleet.control import role as control_role
 from marjoramyard.fleet.control.storage import open_storage
 from marjoramyard.fleet.settings import ControlSettings
 from marjoramyard.fleet.util.tasks import task_group
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def host(tmp_path, monkeypatch):
-    monkeypatch.setattr(control, "_STORAGE_RETRY_SECONDS", 0.01)
+    monkeypatch.setattr(control_role, "_STORAGE_RETRY_SECONDS", 0.01)
     settings = ControlSettings(
         role="control",
         name="c",
@@ -39,17 +39,18 @@
                     tasks=tasks,
                     client=None,
                 )
-                running = control.ControlRole(app, storage)
-                me = ReplicaId(running.unassigned_replica_id)
-                running.initialise(
-                    "cluster", Membership((me,), (), {me: "127.0.0.1:9"})
+                role = control_role.ControlRole(app, storage)
+                replica = ReplicaId(role.unassigned_replica_id)
+                role.initialise(
+                    "cluster",
+                    Membership((replica,), (), {replica: "127.0.0.1:9"}),
                 )
 
                 async def leads():
-                    return running.is_leader()
+                    return role.is_leader()
 
                 await until(leads, "a leader")
-                yield running
+                yield role
     finally:
         metrics.close()
 
@@ -63,11 +64,10 @@
 
 
 async def test_a_full_disk_refuses_and_loses_nothing(host, monkeypatch):
-    """An operator would be told yes for a change that is on no disk.
+    """Guards against acknowledging a change that is not on disk.
 
-    A change is acknowledged, then the disk takes no more bytes. The next
-    change gets no acknowledgement; the first is still there once the disk
-    takes writes again, and so is service, without a restart.
+    Changes are refused while the disk is full. Afterwards, the host serves
+    again without a restart of the process, with all acknowledged changes.
     """
     first, second = ConfigDocument(1, b"one"), ConfigDocument(2, b"two")
     assert isinstance(await host.service.put_config(first), Ok)
@@ -80,7 +80,7 @@
     async def leads():
         return host.is_leader()
 
-    await until(leads, "the replica to start anew")
+    await until(leads, "the replica to restart")
     read = await host.service.read_config()
     assert read.ok_value.document in (first, second)
     assert isinstance(await host.service.put_config(second), Ok)
