--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -1,4 +1,4 @@
-"""The application object: wires settings, metrics, events and a role."""
+"""The application object of a daemon process: settings, metrics and role."""
 
 import asyncio
 import importlib
@@ -33,47 +33,46 @@
     "agent": "marjoramyard.fleet.agent.role",
     "gateway": "marjoramyard.fleet.gateway.role",
 }
-"""Only the role's own module is imported: memory counts on small hosts."""
+"""The module of each role. Only the one in use is imported, to save memory."""
 
 
 _SHUTDOWN_SECONDS = 0.3
-"""How long handlers may take to notice that they are cancelled."""
+"""How long cancelled handlers may take to end."""
 _KEEPALIVE_SECONDS = 75.0
+"""Longer than most load balancers keep idle connections."""
 _BACKLOG = 512
-"""As long as most balancers keep idle connections, and a little longer."""
-_WATCH_SECONDS = 2.0
-"""One `stat` each time; a change matters within seconds at the soonest."""
+_SETTINGS_CHECK_SECONDS = 2.0
+"""The interval at which the settings file is checked for changes."""
 
 
 def _modified_ns(source: Path | None) -> int:
-    """Returns when a file was last written, 0 if that can't be told."""
+    """Returns a file's modification time in nanoseconds, 0 if unknown."""
     try:
         return source.stat().st_mtime_ns if source is not None else 0
     except OSError:
-        # The file is being replaced, or gone: what was read stays.
+        # The file is missing, possibly while it is being replaced.
         return 0
 
 
 class Role(Protocol):
-    """What a running role offers the application."""
+    """The interface of a running role."""
 
     def is_ready(self) -> bool:
-        """Returns whether the balancer may send it work."""
+        """Returns whether the load balancer may send it requests."""
 
     async def drain(self) -> None:
-        """Takes no new work and returns when what runs has ended."""
+        """Stops accepting work and waits for running work to finish."""
 
 
 RoleFactory = Callable[["Application"], AbstractAsyncContextManager[Role]]
 
 
-def _waits_for_request(connection: web.RequestHandler) -> bool:
-    """Whether nothing has come on a connection since its last answer.
+def _is_idle(connection: web.RequestHandler) -> bool:
+    """Whether a connection is idle.
 
-    A handler starts two turns of the loop after its request was read, and
-    its answer may still be on its way out when it has returned. Closed in
-    between, a whole request would get no answer at all. The library tells
-    this state only in a private attribute.
+    A connection is not idle once a request has been read, even though its
+    handler starts later, nor while the response is still being written.
+    aiohttp exposes this state in a private attribute only.
     """
     waiter = connection._waiter
     return waiter is not None and not waiter.done()
@@ -82,19 +81,19 @@
 ProtocolWrapper = Callable[
     [asyncio.Protocol, Callable[[], bool]], asyncio.Protocol
 ]
-"""Makes the protocol that stands before the library's, given that one and
-whether it waits for a request."""
+"""Wraps aiohttp's protocol of a connection. The arguments are that protocol and
+a function that returns whether the connection is idle."""
 
 
 class WrappedSite(web.TCPSite):
-    """A site whose connections pass a protocol of ours first."""
+    """A TCP site that wraps the protocol of each connection."""
 
     def __init__(self, *args, wrapper: ProtocolWrapper, **options):
         super().__init__(*args, **options)
         self.wrapper = wrapper
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         await web.BaseSite.start(self)
         self._server = await asyncio.get_running_loop().create_server(
             self._connect,
@@ -105,12 +104,12 @@
         )
 
     def _connect(self) -> asyncio.Protocol:
-        behind = self._runner.server()
-        return self.wrapper(behind, lambda: _waits_for_request(behind))
+        protocol = self._runner.server()
+        return self.wrapper(protocol, lambda: _is_idle(protocol))
 
 
 class Listener:
-    """An address that is served."""
+    """A served address and its connections."""
 
     def __init__(self, runner: web.AppRunner, site: web.TCPSite):
         self.runner = runner
@@ -118,29 +117,28 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections there are."""
+        """The number of open connections."""
         return len(self.runner.server.connections)
 
     def close_idle(
         self, in_use: Collection[web.RequestHandler], limit: int | None = None
     ) -> int:
-        """Closes connections on which nothing is being answered.
+        """Closes idle connections; new ones are still accepted.
 
-        New connections are still taken. The library's own `pre_shutdown`
-        is no use here: it ends the task that reads a connection and leaves
-        the connection open, so a request that comes on it meets silence.
+        aiohttp's `pre_shutdown` is not used: it stops reading but leaves
+        connections open, so later requests would never get a response.
 
         Args:
             in_use: Connections to leave open.
             limit: The most connections to close, oldest first; None for all.
 
         Returns:
-            How many were closed.
+            The number of closed connections.
         """
         idle = [
             connection
             for connection in self.runner.server.connections
-            if connection not in in_use and _waits_for_request(connection)
+            if connection not in in_use and _is_idle(connection)
         ]
         for connection in idle[:limit]:
             connection.force_close()
@@ -148,7 +146,20 @@
 
 
 class Application:
-    """One process of the fleet."""
+    """One daemon process.
+
+    Attributes:
+        settings_path: The settings file; None if the settings can't be
+            reloaded.
+        settings_modified_ns: The file's modification time when it was read.
+        incarnation: The unique id of this process.
+        secret: The fleet's shared secret; "" if internal calls are not
+            authenticated.
+        stopping: Set when the process has been told to stop.
+        role: The running role; None before it has started.
+        tasks: Background tasks; they are cancelled at the end.
+        client: The client for calls to other processes.
+    """
 
     def __init__(
         self, settings: RoleSettings, settings_path: Path | None = None
@@ -168,11 +179,11 @@
         self.client: rpc.InternalClient
 
     def load_extension(self, module: str) -> None:
-        """Imports an extension and lets it register what it offers."""
+        """Imports an extension module and calls its `setup`."""
         importlib.import_module(module).setup(self)
 
     def add_role(self, name: str, factory: RoleFactory) -> None:
-        """Registers a role; extensions call it."""
+        """Registers a role under its name; called by extensions."""
         self.roles.register(name)(factory)
 
     @asynccontextmanager
@@ -191,13 +202,13 @@
 
         Args:
             address: IP:PORT.
-            routes: What is served.
-            internal: Only to who has the fleet's secret, if there is one.
-            health: With health and metrics pages beside the routes.
+            routes: The routes.
+            internal: Requires the fleet's secret, if there is one.
+            health: Adds the health and metrics pages.
             max_body: The largest body in bytes.
             max_header: The largest header line in bytes.
             keepalive: Seconds after which an idle connection is closed.
-            wrapper: Makes what sees the bytes of a connection first.
+            wrapper: Wraps the protocol of each connection.
         """
         middlewares = [rpc.render_failures]
         if internal and self.secret:
@@ -254,25 +265,28 @@
         return web.Response(body=self.metrics.page(), content_type="text/plain")
 
     def _serve_metrics(self) -> AbstractAsyncContextManager:
-        """Serves the metrics page on its own address too, if it has one."""
+        """Also serves the metrics page on `metrics_listen`, if it is set."""
         address = getattr(self.settings, "metrics_listen", "")
         if not address:
             return nullcontext()
         return self.serve(address, [], internal=False)
 
-    def _watch_traffic(self) -> None:
+    def _register_traffic_metrics(self) -> None:
         client = self.client
 
-        def traffic() -> list[tuple[float, dict[str, str]]]:
+        def traffic_bytes() -> list[tuple[float, dict[str, str]]]:
             return [
                 (client.bytes_sent, {"direction": "sent"}),
                 (client.bytes_received, {"direction": "received"}),
             ]
 
-        self.metrics.gauge("control_bytes", traffic)
+        self.metrics.gauge("control_bytes", traffic_bytes)
 
     def reload(self) -> None:
-        """Takes in the settings that may change while the process runs."""
+        """Reloads the settings file and applies the changeable settings.
+
+        An invalid file is logged and ignored.
+        """
         if self.settings_path is None:
             return
         self.settings_modified_ns = _modified_ns(self.settings_path)
@@ -284,17 +298,17 @@
         logger.info("settings_reloaded", changed=changed)
 
     async def _watch_settings(self) -> None:
-        """Notices a settings file that changes without a signal."""
+        """Reloads the settings when their file changes, until cancelled."""
         while True:
-            await asyncio.sleep(_WATCH_SECONDS)
+            await asyncio.sleep(_SETTINGS_CHECK_SECONDS)
             if _modified_ns(self.settings_path) != self.settings_modified_ns:
                 self.reload()
 
     async def run(self) -> None:
-        """Runs the role until a signal, then drains it."""
+        """Runs the role until SIGTERM or SIGINT, then drains it."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.load_extension(ROLE_MODULES[self.settings.role])
         for module in self.settings.extensions:
@@ -302,7 +316,7 @@
         factory = self.roles.get(self.settings.role)
         async with task_group() as self.tasks:
             self.client = rpc.InternalClient(self.secret, self.metrics)
-            self._watch_traffic()
+            self._register_traffic_metrics()
             if self.settings_path is not None:
                 self.tasks.spawn(self._watch_settings())
             try:
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -1,4 +1,4 @@
-"""A router's place in the fleet: announcement, lease, bundle, directory."""
+"""A router's membership in the fleet: announcements, lease and bundle."""
 
 import asyncio
 import random
@@ -25,19 +25,30 @@
 logger = get_logger(__name__)
 
 RENEWAL_WAIT_SECONDS = 2.5
-_ANSWER_SECONDS = RENEWAL_WAIT_SECONDS + 2.0
-_MIN_BACKOFF = 0.1
-_MAX_BACKOFF = 0.6
-_BUNDLE_LOST = -1
+_RENEWAL_TIMEOUT_SECONDS = RENEWAL_WAIT_SECONDS + 2.0
+_MIN_BACKOFF_SECONDS = 0.1
+_MAX_BACKOFF_SECONDS = 0.6
+_NO_ORDER_KNOWN = -1
 
 
 class RouterMembership:
-    """Keeps a router renewed; the rest of the router only looks things up.
+    """Renews a router's lease by a long poll and keeps what it brings.
 
     Attributes:
+        row: Returns the router's current row in the directory.
         bundle: The bundle in force.
         agents: The announced agents, by incarnation (entries only).
+        unconfirmed_agents: Agents known from a former leader that the
+            current one has not reported yet; None once its directory is
+            complete.
         suspects: Fingerprints of requests that may crash endpoints.
+        quarantined_until: When each quarantine ends (monotonic).
+        order: The newest order to the agent's endpoint, if any.
+        newest_order: The newest fencing number of the endpoint.
+        reported_lease: Whether the lease was held when it was last logged.
+        on_bundle: Called after the bundle has changed.
+        on_agents: Called after `agents` has changed.
+        on_order: Called with the new order and its fencing number.
     """
 
     def __init__(
@@ -55,61 +66,60 @@
         self.agents: dict[str, DirectoryRow] = {}
         self.directory_epoch = ""
         self.directory_version = 0
-        self.pending_epoch: set[str] | None = None
+        self.unconfirmed_agents: set[str] | None = None
         self.suspects: set[Fingerprint] = set()
-        self.convicted: dict[Fingerprint, float] = {}
+        self.quarantined_until: dict[Fingerprint, float] = {}
         self.suspects_revision = "-"
         self.order: Order | None = None
-        self.newest_order = _BUNDLE_LOST
-        self.had_lease = False
-        self.changed = asyncio.Event()
+        self.newest_order = _NO_ORDER_KNOWN
+        self.reported_lease = False
+        self.announce_requested = asyncio.Event()
         self.on_bundle: list[Callable[[], None]] = []
         self.on_agents: list[Callable[[], None]] = []
         self.on_order: list[Callable[[Order | None, int], None]] = []
         metrics.gauge("bundle_version", lambda: [(self.bundle.version, {})])
         metrics.gauge("lease_held", lambda: [(float(self.holds_lease()), {})])
 
-    # What others look up.
+    # State for the rest of the router.
 
     def holds_lease(self) -> bool:
-        """Returns whether new work may be taken now."""
+        """Returns whether the router may accept requests now."""
         return self.lease.holds(time.monotonic()) and self.bundle.version > 0
 
     def refusal(self) -> Failure | None:
-        """Returns why no new work is taken, or None."""
+        """Returns the failure of new requests, or None if they are accepted."""
         if self.holds_lease():
             return None
         return failure(
             Kind.NO_LEASE,
-            "this router has no confirmed configuration; try another one, "
-            "or this one again when the control hosts answer",
+            "this router has no valid configuration lease; try another "
+            "router, or this one again later",
             retry_after=random.uniform(1.0, 3.0),
         )
 
     def quarantine_seconds_left(self, fingerprint: Fingerprint) -> float | None:
-        """Returns the seconds for which a request is refused, if it is."""
-        until = self.convicted.get(fingerprint, 0.0)
-        left = until - time.monotonic()
-        return left if left > 0 else None
+        """Returns the rest of a request's quarantine in seconds, if any."""
+        quarantined_until = self.quarantined_until.get(fingerprint, 0.0)
+        remaining = quarantined_until - time.monotonic()
+        return remaining if remaining > 0 else None
 
     def announce_now(self) -> None:
-        """Has the next announcement sent without waiting for the poll."""
-        self.changed.set()
+        """Ends the current poll, so that the next announcement is sent."""
+        self.announce_requested.set()
 
-    # The poll.
+    # Renewal.
 
     async def run(self) -> None:
-        """Renews until cancelled."""
-        backoff = _MIN_BACKOFF
+        """Renews the lease until cancelled."""
+        backoff = _MIN_BACKOFF_SECONDS
         while True:
             if await self._renew_once():
-                backoff = _MIN_BACKOFF
+                backoff = _MIN_BACKOFF_SECONDS
                 continue
-            self._note_lease()
-            # Jitter keeps routers that lost the same leader from coming
-            # back to the next one all at once.
+            self._report_lease_change()
+            # Jitter spreads the retries of routers that lost the same leader.
             await asyncio.sleep(backoff * random.uniform(0.5, 1.5))
-            backoff = min(_MAX_BACKOFF, backoff * 2)
+            backoff = min(_MAX_BACKOFF_SECONDS, backoff * 2)
 
     async def _renew_once(self) -> bool:
         request = RenewRequest(
@@ -122,58 +132,69 @@
             self.suspects_revision,
             self.newest_order,
         )
-        self.changed.clear()
+        self.announce_requested.clear()
         sent_at = time.monotonic()
         address = self.control.leader
         poll = asyncio.ensure_future(
             self.control.client.call(
-                address, RENEW_PATH, request, RenewReply, _ANSWER_SECONDS
+                address,
+                RENEW_PATH,
+                request,
+                RenewReply,
+                _RENEWAL_TIMEOUT_SECONDS,
             )
         )
-        woken = asyncio.ensure_future(self.changed.wait())
+        announce_wait = asyncio.ensure_future(self.announce_requested.wait())
         try:
             await asyncio.wait(
-                {poll, woken}, return_when=asyncio.FIRST_COMPLETED
+                {poll, announce_wait}, return_when=asyncio.FIRST_COMPLETED
             )
             if not poll.done():
                 return True
-            answer = poll.result()
+            result = poll.result()
         finally:
             poll.cancel()
-            woken.cancel()
-        if isinstance(answer, Err):
-            reason = answer.err_value
+            announce_wait.cancel()
+        if isinstance(result, Err):
+            reason = result.err_value
             if reason.leader and reason.leader != address:
                 self.control.leader = reason.leader
             else:
                 self.control.pass_over(address)
             return False
-        return self._take(answer.ok_value, sent_at)
+        return self._apply(result.ok_value, sent_at)
 
-    def _take(self, reply: RenewReply, sent_at: float) -> bool:
-        """Installs what a confirmed leader says.
+    def _apply(self, reply: RenewReply, sent_at: float) -> bool:
+        """Applies the reply of a confirmed leader.
 
-        A version below ours can't come from a confirmed leader unless the
-        control state itself was set back; the router then keeps what it
-        has, takes no renewal, and so stops by itself instead of reverting.
+        A version older than the bundle in force means that the control state
+        was restored from an older one. The reply is then refused, and the
+        router stops accepting requests when its lease ends.
+
+        Args:
+            reply: The reply.
+            sent_at: When the request was sent (monotonic).
+
+        Returns:
+            Whether the lease was renewed.
         """
         if reply.version < self.bundle.version:
             self.metrics.count("older_bundles_refused")
             logger.error("older_bundle_refused", offered=reply.version)
             return False
-        if not self._install(reply):
+        if not self._install_bundle(reply):
             return False
         self.lease.renewed(sent_at, reply.lease_seconds)
         if reply.directory is not None:
-            self._take_directory(reply.directory)
+            self._apply_directory(reply.directory)
         if reply.suspects is not None:
-            self._take_suspects(reply)
+            self._apply_suspects(reply)
         self.suspects_revision = reply.suspects_revision
-        self._take_order(reply)
-        self._note_lease()
+        self._apply_order(reply)
+        self._report_lease_change()
         return True
 
-    def _install(self, reply: RenewReply) -> bool:
+    def _install_bundle(self, reply: RenewReply) -> bool:
         before = self.bundle.version
         if reply.rows is not None:
             self.bundle.install(reply.version, reply.chain, reply.rows)
@@ -185,7 +206,7 @@
             reply.version,
             reply.chain,
         ):
-            # The deltas did not lead where they should. A snapshot will.
+            # The deltas do not match the version: request a snapshot.
             self.bundle.chain = ""
             self.metrics.count("bundle_deltas_broken")
             return False
@@ -196,11 +217,11 @@
                 listener()
         return True
 
-    def _take_directory(self, update: DirectoryUpdate) -> None:
+    def _apply_directory(self, update: DirectoryUpdate) -> None:
         if update.epoch != self.directory_epoch:
-            # A new leader hears of everybody only bit by bit. What it does
-            # not know yet stays until it says that it is complete.
-            self.pending_epoch = set(self.agents)
+            # A new leader's directory is incomplete at first. Known agents
+            # are kept until it is reported complete.
+            self.unconfirmed_agents = set(self.agents)
             self.directory_epoch = update.epoch
         self.directory_version = update.version
         changed = bool(update.rows)
@@ -209,36 +230,36 @@
                 self.agents.pop(row.incarnation, None)
             else:
                 self.agents[row.incarnation] = row
-            if self.pending_epoch is not None:
-                self.pending_epoch.discard(row.incarnation)
-        if update.complete and self.pending_epoch is not None:
-            for incarnation in self.pending_epoch:
+            if self.unconfirmed_agents is not None:
+                self.unconfirmed_agents.discard(row.incarnation)
+        if update.complete and self.unconfirmed_agents is not None:
+            for incarnation in self.unconfirmed_agents:
                 self.agents.pop(incarnation, None)
                 changed = True
-            self.pending_epoch = None
+            self.unconfirmed_agents = None
         if changed:
             for listener in self.on_agents:
                 listener()
 
-    def _take_suspects(self, reply: RenewReply) -> None:
+    def _apply_suspects(self, reply: RenewReply) -> None:
         now = time.monotonic()
         self.suspects = {Fingerprint(name) for name in reply.suspects or []}
-        self.convicted = {
-            Fingerprint(name): now + left
-            for name, left in (reply.convicted or {}).items()
+        self.quarantined_until = {
+            Fingerprint(name): now + remaining
+            for name, remaining in (reply.convicted or {}).items()
         }
 
-    def _take_order(self, reply: RenewReply) -> None:
-        is_news = reply.newest_order > self.newest_order
+    def _apply_order(self, reply: RenewReply) -> None:
+        is_newer = reply.newest_order > self.newest_order
         self.newest_order = reply.newest_order
         self.order = reply.order
-        if is_news:
+        if is_newer:
             for listener in self.on_order:
                 listener(reply.order, reply.newest_order)
 
-    def _note_lease(self) -> None:
+    def _report_lease_change(self) -> None:
         holds = self.holds_lease()
-        if holds != self.had_lease:
-            self.had_lease = holds
+        if holds != self.reported_lease:
+            self.reported_lease = holds
             logger.info("lease", held=holds, version=self.bundle.version)
             self.metrics.count("lease_changes", held=str(holds).lower())
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""A router's lease and bundle: never back, never longer than granted."""
+"""A router's lease, bundle, directory, orders and suspects."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 SERVICE = {"kind": "engine"}
 
 
-class NoMetrics:
+class CountingMetrics:
     def __init__(self):
         self.counts = []
 
@@ -31,7 +31,7 @@
 
 
 class FakeControl:
-    """Answers renewals from a list, and notes who was passed over."""
+    """Answers renewals from a list and records replaced leaders."""
 
     def __init__(self, answers):
         self.answers = list(answers)
@@ -48,8 +48,8 @@
         self.passed_over.append(address)
 
 
-def reply(version, chain, **more):
-    return Ok(RenewReply(8.0, version, chain, **more))
+def reply(version, chain, **fields):
+    return Ok(RenewReply(8.0, version, chain, **fields))
 
 
 def snapshot(version, chain, services=("chat",)):
@@ -57,14 +57,14 @@
     return reply(version, chain, rows=rows)
 
 
-def make(*answers):
+def make_router(*answers):
     control = FakeControl(answers)
-    return RouterMembership(control, NoMetrics(), lambda: ROW), control
+    return RouterMembership(control, CountingMetrics(), lambda: ROW), control
 
 
 async def test_a_snapshot_then_deltas_are_installed_and_renew_the_lease():
     delta = Delta(2, "c2", {"services/shop": SERVICE}, [])
-    router, _ = make(snapshot(1, "c1"), reply(2, "c2", deltas=[delta]))
+    router, _ = make_router(snapshot(1, "c1"), reply(2, "c2", deltas=[delta]))
     assert not router.holds_lease()
     assert await router._renew_once()
     assert await router._renew_once()
@@ -72,13 +72,11 @@
     assert set(router.bundle.services) == {"chat", "shop"}
 
 
-async def test_an_older_version_is_neither_installed_nor_a_renewal():
-    """Control was set back by hand, or a host answers that must not.
-
-    The router keeps what it has. It takes no renewal either, so it stops
-    by itself rather than going on under a line that nobody leads.
-    """
-    router, _ = make(snapshot(5, "c5", ("new",)), snapshot(4, "c4", ("old",)))
+async def test_an_older_version_neither_is_installed_nor_renews_the_lease():
+    """Guards against reverting to an older state of the control hosts."""
+    router, _ = make_router(
+        snapshot(5, "c5", ("new",)), snapshot(4, "c4", ("old",))
+    )
     await router._renew_once()
     until = router.lease.until
     assert not await router._renew_once()
@@ -87,10 +85,10 @@
     assert "older_bundles_refused" in router.metrics.counts
 
 
-async def test_deltas_that_lead_elsewhere_are_followed_by_a_snapshot():
-    """One delta was made against another line; the digest tells."""
+async def test_deltas_with_a_wrong_digest_are_followed_by_a_snapshot():
+    """Guards against a bundle that differs from the leader's."""
     delta = Delta(2, "other", {"services/shop": SERVICE}, [])
-    router, control = make(
+    router, control = make_router(
         snapshot(1, "c1"), reply(2, "c2", deltas=[delta]), snapshot(2, "c2")
     )
     await router._renew_once()
@@ -100,11 +98,11 @@
     assert set(router.bundle.services) == {"chat"}
 
 
-async def test_without_answers_the_lease_ends_and_the_refusal_says_when(
+async def test_without_replies_the_lease_ends_and_refusals_have_a_delay(
     monkeypatch,
 ):
     lost = Err(failure(Kind.NO_ENDPOINT, "gone"))
-    router, control = make(snapshot(1, "c1"), lost)
+    router, control = make_router(snapshot(1, "c1"), lost)
     await router._renew_once()
     assert router.refusal() is None
     assert not await router._renew_once()
@@ -115,23 +113,19 @@
     assert refusal.retry_after > 0
 
 
-async def test_the_lease_runs_from_when_it_was_asked_for():
-    """The answer is held up on its way for longer than the lease.
-
-    Counting from its arrival would let a router work by a bundle that the
-    leader has long replaced everywhere else.
-    """
-    router, _ = make()
-    router._take(snapshot(1, "c1").ok(), sent_at=-100.0)
+async def test_the_lease_runs_from_the_time_of_the_request():
+    """Guards against a delayed reply that extends the use of an old bundle."""
+    router, _ = make_router()
+    router._apply(snapshot(1, "c1").ok(), sent_at=-100.0)
     assert not router.holds_lease()
 
 
-async def test_a_follower_names_the_leader():
-    hint = failure(Kind.NOT_LEADER, "not me")
-    hint = type(hint)(
-        hint.code, hint.message, hint.outcome, None, "127.0.0.1:9002"
+async def test_a_follower_redirects_to_the_leader():
+    refusal = failure(Kind.NOT_LEADER, "not me")
+    refusal = type(refusal)(
+        refusal.code, refusal.message, refusal.outcome, None, "127.0.0.1:9002"
     )
-    router, control = make(Err(hint))
+    router, control = make_router(Err(refusal))
     await router._renew_once()
     assert control.leader == "127.0.0.1:9002"
     assert control.passed_over == []
@@ -143,30 +137,26 @@
     )
 
 
-async def test_a_new_leaders_bare_directory_takes_no_endpoint_away():
-    """All control hosts restart; the directory comes back bit by bit.
-
-    An entry that believed the first answers would drop endpoints that
-    serve, and refuse work they have room for.
-    """
+async def test_a_new_leaders_incomplete_directory_removes_no_agents():
+    """Guards against dropping agents that a new leader does not know yet."""
     updates = [
         DirectoryUpdate("e1", 2, [agent("a"), agent("b")], True),
         DirectoryUpdate("e2", 1, [agent("a")], False),
         DirectoryUpdate("e2", 2, [], True),
     ]
-    router, _ = make()
-    router._take_directory(updates[0])
-    router._take_directory(updates[1])
+    router, _ = make_router()
+    router._apply_directory(updates[0])
+    router._apply_directory(updates[1])
     assert set(router.agents) == {"a", "b"}
-    router._take_directory(updates[2])
+    router._apply_directory(updates[2])
     assert set(router.agents) == {"a"}
     gone = DirectoryUpdate("e2", 3, [agent("a", "gone")], True)
-    router._take_directory(gone)
+    router._apply_directory(gone)
     assert router.agents == {}
 
 
-def test_an_agent_passes_no_order_before_it_knows_the_newest():
-    """It was restarted with no memory and is handed an old order."""
+def test_an_agent_admits_no_order_before_it_knows_the_newest():
+    """Guards against an old order after a restart of the agent."""
     guard = FencingGuard()
     assert guard.admit(3).kind is Kind.STALE_ORDER
     guard.learn(5)
@@ -175,14 +165,14 @@
 
 
 async def test_a_change_of_state_is_announced_without_waiting(monkeypatch):
-    """An agent that is told to stop must be known as leaving at once."""
-    router, control = make()
-    hanging = asyncio.get_running_loop().create_future()
+    """Guards against new work for an agent that is being stopped."""
+    router, control = make_router()
+    pending_reply = asyncio.get_running_loop().create_future()
 
-    async def hang(*_):
-        await hanging
+    async def never_reply(*_):
+        await pending_reply
 
-    control.call = hang
+    control.call = never_reply
     poll = asyncio.ensure_future(router._renew_once())
     await asyncio.sleep(0)
     await asyncio.sleep(0)
@@ -192,8 +182,8 @@
 
 @pytest.mark.parametrize("left", [5.0, -1.0])
 def test_a_conviction_ends_with_its_quarantine(left):
-    router, _ = make()
-    router._take_suspects(
+    router, _ = make_router()
+    router._apply_suspects(
         RenewReply(8.0, 1, "c", suspects=["f"], convicted={"f": left})
     )
     assert (router.quarantine_seconds_left("f") is not None) == (left > 0)
