--- a/packages/fleet/src/marjoramyard/fleet/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet daemon: its roles are plug-ins of one application."""
+"""The fleet daemon: one application whose roles are extensions."""
--- a/packages/fleet/src/marjoramyard/fleet/cmd/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines of the daemon."""
+"""The command line of the daemon."""
--- a/packages/fleet/src/marjoramyard/fleet/cmd/daemon.py
+++ b/packages/fleet/src/marjoramyard/fleet/cmd/daemon.py
@@ -1,4 +1,4 @@
-"""The `marjoramyard` command: runs a role or checks its settings."""
+"""The `marjoramyard` command, which runs a role or checks its settings."""
 
 import asyncio
 import sys
@@ -12,7 +12,7 @@
 from marjoramyard.kernel.logs import configure_logs
 from marjoramyard.kernel.settings import RoleSettings, load_settings
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 EXIT_FAILED = 1
 
 
@@ -20,7 +20,7 @@
     loaded = load_settings(path)
     if isinstance(loaded, Err):
         click.echo(loaded.err_value, err=True)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     return loaded.ok_value
 
 
@@ -32,9 +32,9 @@
 @main.command()
 @click.argument("settings", type=click.Path(path_type=Path))
 def check(settings: Path) -> None:
-    """Checks a settings file; exit code 2 if it is wrong."""
+    """Checks a settings file; exits with code 2 if it is invalid."""
     loaded = _load_or_exit(settings)
-    click.echo(f"{settings}: good for role {loaded.role}")
+    click.echo(f"{settings}: valid settings for role {loaded.role}")
 
 
 @main.command()
@@ -50,12 +50,12 @@
     asyncio.run(_run(loaded, settings))
 
 
-async def _run(settings: RoleSettings, source: Path) -> None:
+async def _run(settings: RoleSettings, path: Path) -> None:
     try:
-        application = Application(settings, source)
+        application = Application(settings, path)
     except ValueError as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     try:
         await application.run()
     except (OSError, RuntimeError) as error:
--- a/packages/fleet/src/marjoramyard/fleet/messages.py
+++ b/packages/fleet/src/marjoramyard/fleet/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between the fleet's processes."""
+"""The message types of internal calls between the fleet's processes."""
 
 from typing import Any
 
@@ -17,7 +17,13 @@
 
 
 class CallTicket(msgspec.Struct):
-    """What a call that must not repeat carries to the agent."""
+    """The ledger entry of a non-idempotent call, for the agent.
+
+    Attributes:
+        key: The idempotency key.
+        body_digest: The digest of the request body.
+        epoch: The number of the call's cancellations when it was admitted.
+    """
 
     key: str
     body_digest: str
@@ -25,15 +31,16 @@
 
 
 class RunRequest(msgspec.Struct, omit_defaults=True):
-    """The head of a run; the caller's body follows as the HTTP body.
+    """The header of an attempt; the caller's body follows as the HTTP body.
 
     Attributes:
         attempt: The attempt's id.
-        deadline_seconds: What is left of the deadline when it is sent.
-        grant: The grant it uses, or "" for a direct run.
-        repeatable: The system may run the request again.
-        suspect: An endpoint was lost while it ran.
-        call: Set for a call that must not repeat.
+        deadline_seconds: The time left until the request's deadline.
+        stall_seconds: The longest time without response data.
+        grant: The grant that the attempt uses, or "" for a direct attempt.
+        repeatable: Whether the system may run the request again.
+        suspect: Whether an endpoint was lost while the request ran.
+        call: Set for a non-idempotent call.
     """
 
     attempt: str
@@ -54,18 +61,23 @@
 
 
 class CancelReply(msgspec.Struct):
-    """Whether the attempt had been sent to the endpoint."""
+    """The reply to a cancellation.
+
+    Attributes:
+        started: Whether the attempt had been sent to the endpoint.
+    """
 
     started: bool
 
 
 class OfferMessage(msgspec.Struct, omit_defaults=True):
-    """An entry tells an agent what waits.
+    """An entry offers its queued requests to an agent.
 
     Attributes:
-        whole: The rows are the whole backlog; what they lack is withdrawn.
-        totals: With a whole backlog, and with the first word to an agent.
-        leaving: The entry is going away; forget it.
+        sequence: Increases with each offer of the entry.
+        whole: The rows are the complete backlog; missing rows are withdrawn.
+        totals: Sent with a complete backlog and with the first offer.
+        leaving: The entry is shutting down and is to be removed.
     """
 
     entry: str
@@ -80,10 +92,13 @@
 
 
 class OfferReply(msgspec.Struct, omit_defaults=True):
-    """The agent's answer to an offer; totals come if the offer had some.
+    """The agent's reply to an offer.
 
     Attributes:
-        entries: From how many entries the agent hears.
+        free: The number of free slots.
+        entries: The number of entries that make offers to the agent.
+        totals: Sent if the offer had totals.
+        leaving: The agent is shutting down.
     """
 
     free: int
@@ -93,7 +108,7 @@
 
 
 class FreeMessage(msgspec.Struct):
-    """An agent with no work tells an entry that it is busy no more."""
+    """An agent without queued work reports free slots to an entry."""
 
     agent: str
     service: str
@@ -101,7 +116,7 @@
 
 
 class GrantMessage(msgspec.Struct):
-    """An agent grants a run to an entry."""
+    """An agent grants a slot to an entry, for a request of a workspace."""
 
     agent: str
     address: str
@@ -111,10 +126,11 @@
 
 
 class GrantReply(msgspec.Struct, omit_defaults=True):
-    """Whether a request will use the grant.
+    """The entry's reply to a grant.
 
     Attributes:
-        left: How many requests of the workspace still wait there.
+        taken: Whether a request will use the grant.
+        left: The number of the workspace's requests still queued there.
         prefix: The prefix digest of the next one.
     """
 
@@ -128,12 +144,13 @@
 
     Attributes:
         name: The endpoint's name.
-        incarnation: Its life; a restart changes it.
-        address: Where it serves.
+        incarnation: The id of its process; a restart changes it.
+        address: Its serving address.
+        slots: The number of requests it serves concurrently.
         state: ready or leaving.
-        checks_fencing: It refuses old fencing numbers by itself.
-        event_number: Number of the newest cache event.
-        evicted: Prefix digests that left its cache with that event.
+        checks_fencing: Whether it refuses old fencing numbers itself.
+        event_number: The number of the newest cache event.
+        evicted: Prefix digests that were evicted with that event.
     """
 
     name: str
@@ -148,10 +165,17 @@
 
 
 class RenewRequest(msgspec.Struct, omit_defaults=True):
-    """A router announces itself and asks for its lease.
+    """A router announces itself and requests a renewal of its lease.
 
     Attributes:
-        known: Whether `row` is left out because the leader has it.
+        row: The router's row in the directory.
+        version: The version of its bundle.
+        chain: The digest of its bundle's history; "" requests a snapshot.
+        wait_seconds: How long the reply may wait for changes.
+        directory_epoch: The directory that `directory_version` counts in.
+        directory_version: The version of its directory.
+        suspects_revision: The revision of its set of suspects.
+        order_seen: The newest fencing number that it knows; -1 for none.
     """
 
     row: DirectoryRow
@@ -165,13 +189,19 @@
 
 
 class RenewReply(msgspec.Struct, omit_defaults=True):
-    """The lease, and all that the router lacks.
+    """A renewed lease, with all changes since the router's state.
 
     Attributes:
-        rows: A snapshot of the bundle, if deltas do not reach back. A
-            router decodes row by row: 24,000 decoded at once would take
-            half of its memory for a moment, and the heap keeps it.
-        convicted: Seconds of quarantine left, by fingerprint.
+        lease_seconds: The length of the lease, from the request's sending.
+        version: The version of the bundle in force.
+        chain: The digest of its history.
+        deltas: Changes of the bundle since the router's version.
+        rows: A snapshot of the bundle, if there are no deltas since that
+            version. Rows are decoded one by one, to bound the memory used.
+        directory: Changes of the directory, for entries.
+        suspects: All suspects, if they changed.
+        convicted: The rest of each quarantine in seconds, by fingerprint.
+        order: The newest order to the agent's endpoint.
         newest_order: The endpoint's newest fencing number.
     """
 
@@ -189,14 +219,21 @@
 
 
 class CallLookUp(msgspec.Struct):
-    """Asks a confirmed leader what the ledger says of a call."""
+    """Requests the ledger's entry for a call from the leader."""
 
     key: str
     body_digest: str
 
 
 class HostStatus(msgspec.Struct):
-    """What a control host says of itself."""
+    """The status of a control host.
+
+    Attributes:
+        leader: The internal address of the leader; "" if unknown.
+        commit: The commit index.
+        version: The version of the bundle in force.
+        synced: The last synced log index by replica; from the leader only.
+    """
 
     name: str
     replica: str
@@ -212,14 +249,24 @@
 
 
 class InitCluster(msgspec.Struct):
-    """Forms a new cluster out of hosts that hold nothing."""
+    """Initialises an empty control host as a member of a cluster.
+
+    Attributes:
+        cluster: The id of the cluster.
+        membership: The initial members; empty if the host joins later.
+    """
 
     cluster: str
     membership: Membership
 
 
 class MemberChange(msgspec.Struct):
-    """Changes who receives the log or votes: add, promote or remove."""
+    """Changes the membership of the cluster by one replica.
+
+    Attributes:
+        action: add (as a learner), promote (to a voter) or remove.
+        address: The internal address, if the replica is added.
+    """
 
     action: str
     replica: str
@@ -227,23 +274,28 @@
 
 
 class Query(msgspec.Struct):
-    """Reads something from a confirmed leader."""
+    """Reads a part of the control state from the leader.
+
+    Attributes:
+        subject: The name of the query.
+        argument: An id, for some queries.
+    """
 
     subject: str
     argument: str = ""
 
 
 class QueryReply(msgspec.Struct):
-    """The answer to a query, as plain values."""
+    """The result of a query, in JSON types."""
 
     value: Any
 
 
 class Empty(msgspec.Struct):
-    """A reply that says only that it was done."""
+    """An empty request or reply."""
 
 
 class FailureBody(msgspec.Struct):
-    """How a failure travels in a body."""
+    """The HTTP body of a failure."""
 
     error: Failure
--- a/packages/fleet/src/marjoramyard/fleet/paths.py
+++ b/packages/fleet/src/marjoramyard/fleet/paths.py
@@ -1,7 +1,7 @@
-"""Paths and headers of the internal calls, named once for both sides."""
+"""Paths and headers of internal calls, shared by clients and servers."""
 
 RUN_HEADER = "X-Marjoramyard-Run"
-"""Carries the head of a run; the body is the caller's own."""
+"""Carries the encoded `RunRequest`; the body is the caller's."""
 
 RAFT_PATH = "/raft/v1/messages"
 RENEW_PATH = "/control/v1/renew"
--- a/packages/fleet/src/marjoramyard/fleet/refusals.py
+++ b/packages/fleet/src/marjoramyard/fleet/refusals.py
@@ -1,10 +1,14 @@
-"""Failures that entries and agents both give."""
+"""Failures that both entries and agents return."""
 
 from marjoramyard.kernel.errors import Failure, Kind, failure
 
 
 def quarantined(seconds: float) -> Failure:
-    """Returns the refusal of a convicted request."""
+    """Returns the refusal of a quarantined request.
+
+    Args:
+        seconds: The rest of the quarantine.
+    """
     return failure(
         Kind.QUARANTINED,
         "endpoints died each time this request ran; change it, or wait for "
--- a/packages/fleet/src/marjoramyard/fleet/settings.py
+++ b/packages/fleet/src/marjoramyard/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings of each role."""
+"""The settings of the daemon's roles."""
 
 from typing import ClassVar
 
@@ -6,12 +6,12 @@
 
 
 class SeededSettings(RoleSettings, kw_only=True):
-    """Settings of roles that find the control hosts by themselves.
+    """Settings of roles that discover the control hosts.
 
     Attributes:
         seeds: Public addresses of some control hosts, for the first contact.
         peer_port: The internal port of every control host.
-        dialect: Whose names callers, endpoints and operators use.
+        dialect: The HTTP interface for callers, endpoints and operators.
     """
 
     seeds: list[str] = []
@@ -21,10 +21,10 @@
     changeable: ClassVar[tuple[str, ...]] = ("seeds",)
 
     def addresses(self) -> dict[str, str]:
-        """Adds the seeds."""
+        """Returns all addresses, including the seeds."""
         found = super().addresses()
-        for place, text in enumerate(self.seeds):
-            found[f"seeds[{place}]"] = text
+        for index, text in enumerate(self.seeds):
+            found[f"seeds[{index}]"] = text
         return found
 
     def seed_addresses(self) -> list[str]:
@@ -38,18 +38,18 @@
     """Settings of a control host.
 
     Attributes:
-        data_folder: The one folder of the replicated log and snapshots; a
-            self-forming host without a disk has none and only passes on.
+        data_folder: The folder of the replicated log and snapshots; "" for a
+            self-forming host without a disk, which only forwards calls.
         bootstrap_operators: Ed25519 keys (hex) by operator, trusted until
             the first bundle is in force.
-        snapshot_every: Applied entries between snapshots.
-        self_forming: The hosts found the cluster and replace lost voters
-            by themselves; else `marjoramctl cluster` does.
-        operator_listen: Address for endpoints and operators.
-        first_start: The whole fleet starts for the first time.
-        losses: How many control hosts may be lost at once.
-        heartbeat_ms: How often endpoints announce themselves.
-        metrics_listen: Another address for the metrics page, or "".
+        snapshot_every: The number of applied entries between snapshots.
+        self_forming: Whether the hosts bootstrap the cluster and replace
+            failed voters themselves; otherwise `marjoramctl cluster` does.
+        operator_listen: The address for endpoints and operators.
+        first_start: Whether the complete fleet starts for the first time.
+        losses: The number of control hosts that may fail at the same time.
+        heartbeat_ms: The interval of endpoints' heartbeats.
+        metrics_listen: An additional address for the metrics page, or "".
     """
 
     data_folder: str = ""
@@ -64,18 +64,18 @@
 
     @property
     def voter_count(self) -> int:
-        """How many replicas a quorum is counted from."""
+        """The number of voters that tolerates `losses` failures."""
         return 2 * self.losses + 1
 
     def problems(self) -> list[str]:
-        """Adds what depends on how the cluster is formed."""
+        """Returns all problems, including those of forming the cluster."""
         found = super().problems()
         if not self.self_forming and not self.data_folder:
-            found.append("data_folder: name the folder of the log")
+            found.append("data_folder: required without self_forming")
         if self.self_forming and not self.operator_listen:
-            found.append("operator_listen: give the address for operators")
+            found.append("operator_listen: required with self_forming")
         if self.losses < 0:
-            found.append("losses: must not be below 0")
+            found.append("losses: must not be negative")
         return found
 
 
@@ -84,19 +84,19 @@
     """Settings of a gateway.
 
     Attributes:
-        listen: Address for callers.
-        ready_listen: Address on which the balancer asks for readiness.
-        retry_ratio: Retries for each request, over the whole fleet.
-        retry_slack: Retries on top of that in a window, fleet-wide.
-        retry_window_seconds: The window that both are counted in.
-        revoke_ms: A key that was taken away is refused after this long,
-            also by a gateway that is cut off.
+        listen: The address for callers.
+        ready_listen: The address for the load balancer's readiness checks.
+        retry_ratio: The retries allowed per request, over the whole fleet.
+        retry_slack: Additional retries per window, over the whole fleet.
+        retry_window_seconds: The window in which both are counted.
+        revoke_ms: The longest time for which a revoked key is accepted, also
+            by a gateway that is disconnected from the control hosts.
         grace_seconds: The time between SIGTERM and SIGKILL.
-        processor_cores: What the host gives this process, in cores; the
-            gateways with most of it broker for the others.
-        max_descriptors: How many files and connections the process may
-            have open.
-        metrics_listen: Another address for the metrics page, or "".
+        processor_cores: The processor cores available to this process; the
+            gateways with the most are preferred as brokers.
+        max_descriptors: The most file descriptors that the process may have
+            open, connections included.
+        metrics_listen: An additional address for the metrics page, or "".
     """
 
     listen: str
@@ -111,7 +111,7 @@
     metrics_listen: str = ""
 
     def addresses(self) -> dict[str, str]:
-        """Adds the callers' and the balancer's address."""
+        """Returns all addresses, including the two listening ones."""
         return {
             **super().addresses(),
             "listen": self.listen,
@@ -121,16 +121,17 @@
 
 @ROLE_SETTINGS.register("entry")
 class EntrySettings(RoleSettings, kw_only=True):
-    """Settings of an entry host.
+    """Settings of an entry.
 
     Attributes:
-        listen: Address for callers.
-        agents_per_service: How many agents of a service it works with; 0
-            for all.
+        listen: The address for callers.
+        agents_per_service: The number of agents of a service that the entry
+            uses; 0 for all.
         offer_seconds: The longest time between offers to an agent while
-            requests wait.
+            requests are queued.
         max_header_bytes: The largest header line.
-        caller_stall_seconds: How long a caller may take no bytes.
+        caller_stall_seconds: The longest time for which a caller may accept
+            no data of a response.
     """
 
     listen: str
@@ -140,22 +141,22 @@
     caller_stall_seconds: float = 60.0
 
     def addresses(self) -> dict[str, str]:
-        """Adds the callers' address."""
+        """Returns all addresses, including the callers' one."""
         return {**super().addresses(), "listen": self.listen}
 
 
 @ROLE_SETTINGS.register("agent")
 class AgentSettings(RoleSettings, kw_only=True):
-    """Settings of the process beside an endpoint.
+    """Settings of an agent, the process beside an endpoint.
 
     Attributes:
-        endpoint_listen: Address on which its endpoint announces itself.
-        max_slots: An upper limit of requests at once; 0 for none.
+        endpoint_listen: The address on which its endpoint announces itself.
+        max_slots: The most concurrent requests; 0 for no limit.
     """
 
     endpoint_listen: str
     max_slots: int = 0
 
     def addresses(self) -> dict[str, str]:
-        """Adds the endpoint's address."""
+        """Returns all addresses, including the one for its endpoint."""
         return {**super().addresses(), "endpoint_listen": self.endpoint_listen}
--- a/packages/fleet/src/marjoramyard/fleet/sync_messages.py
+++ b/packages/fleet/src/marjoramyard/fleet/sync_messages.py
@@ -1,4 +1,4 @@
-"""Messages of self-forming control hosts, and of gateways that follow them."""
+"""Message types between self-forming control hosts and to gateways."""
 
 import msgspec
 
@@ -7,15 +7,18 @@
 
 
 class ControlHost(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a control host says of itself.
+    """The description of a control host.
 
     Attributes:
+        name: The name of the host.
         address: Its internal address.
-        public_address: Where endpoints and operators reach it.
-        replica: The id of its data folder's present life; "" without a disk.
-        cluster: The cluster that its folder belongs to; "" for none.
-        first_start: The whole fleet starts for the first time.
-        entries: How many entries its log has ever had.
+        public_address: Its address for endpoints and operators.
+        zone: Its availability zone.
+        replica: The replica of its data folder, or the id of a new one if
+            the folder is empty; "" without a disk.
+        cluster: The cluster that its replica belongs to; "" for none.
+        first_start: Whether the complete fleet starts for the first time.
+        entries: The last index of its log.
     """
 
     name: str
@@ -29,11 +32,11 @@
 
 
 class HostAnnouncement(msgspec.Struct, frozen=True):
-    """A control host tells another of itself and of registrations.
+    """A control host announces itself and registrations to another one.
 
     Attributes:
-        words: What it has heard of endpoints since its last announcement
-            to the receiver.
+        words: Registrations received since the last announcement to the
+            receiver.
     """
 
     host: ControlHost
@@ -41,7 +44,13 @@
 
 
 class HostAnnouncementReply(msgspec.Struct, frozen=True):
-    """What the receiver is, and the addresses of those it heard lately."""
+    """The reply of the receiving host.
+
+    Attributes:
+        host: The receiver.
+        addresses: Internal addresses of the control hosts that it knows.
+        leader: The leader's internal address; "" if unknown.
+    """
 
     host: ControlHost
     addresses: list[str]
@@ -49,18 +58,18 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A gateway asks one control host for what is new.
+    """A gateway requests changes from a control host.
 
     Attributes:
-        gateway: The incarnation that asks.
-        version: The configuration that it has.
-        epoch: The responder's table that `cursor` counts in.
-        cursor: The last change of that table that it has.
-        wait_seconds: How long the answer may wait for news.
-        name: The gateway's host.
+        gateway: The gateway's incarnation.
+        version: The version of its configuration.
+        epoch: The registration table that `cursor` counts in.
+        cursor: The last change of that table that it has applied.
+        wait_seconds: How long the reply may wait for changes.
+        name: The gateway's name.
         address: Its internal address.
-        capacity: How much processor it has to spare for brokering, in
-            cores; 0 if it must not be a broker.
+        capacity: Processor cores that it can spare for brokering; 0 if it
+            must not be a broker.
     """
 
     gateway: str
@@ -74,19 +83,22 @@
 
 
 class SyncReply(msgspec.Struct, omit_defaults=True):
-    """What is new.
+    """Changes since a gateway's state.
 
     Attributes:
-        confirmed: A quorum has said, after the request came in, that the
-            responder leads; so no newer configuration than this one had
-            been acknowledged when it was asked.
+        epoch: The registration table that `cursor` counts in.
+        cursor: The last change of that table.
+        confirmed: Whether a quorum has confirmed the responder's leadership
+            after the request arrived. No newer configuration had been
+            acknowledged by then.
+        version: The version of the responder's configuration; 0 for none.
         config: The newest configuration, if the gateway has an older one.
         words: Registrations that changed after the cursor.
-        silent: Endpoints that no control host has heard for too long.
+        silent: Endpoints that are unresponsive.
         addresses: Internal addresses of the control hosts.
-        gateways: How many gateways ask this host.
-        brokers: Internal addresses of gateways that may broker, the ones
-            with most capacity first; only a confirmed leader says so.
+        gateways: The number of gateways that synchronise with this host.
+        brokers: Internal addresses of the gateways chosen as brokers, in
+            order of preference; only from a confirmed leader.
     """
 
     epoch: str
@@ -102,7 +114,7 @@
 
 
 class PutConfig(msgspec.Struct, frozen=True):
-    """Hands a valid configuration to the leader."""
+    """Sends a validated configuration to the leader."""
 
     document: ConfigDocument
 
--- a/packages/fleet/tests/test_listener.py
+++ b/packages/fleet/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Connections that are closed while requests come in."""
+"""Closing idle connections while requests arrive."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 
 
-async def answer(_):
+async def respond(_):
     return web.Response(text="whole")
 
 
 @pytest.fixture
 async def listener():
     app = web.Application()
-    app.add_routes([web.get("/", answer)])
+    app.add_routes([web.get("/", respond)])
     runner = web.AppRunner(app)
     await runner.setup()
     host, _, port = free_address().rpartition(":")
@@ -30,7 +30,7 @@
 
 
 async def connect(listener, host, port):
-    """Opens a connection; returns both ends of it."""
+    """Opens a connection; returns the server's and the client's end."""
     reader, writer = await asyncio.open_connection(host, port)
 
     async def is_idle():
@@ -40,12 +40,11 @@
     return await until(is_idle, "the server's end"), reader, writer
 
 
-async def test_a_request_that_was_just_read_is_answered(listener):
-    """A shutdown cuts a caller's request without a word.
+async def test_a_request_that_has_just_been_read_is_answered(listener):
+    """Guards against closing a connection before its handler has started.
 
-    A gateway that leaves closes idle connections over and over. A request
-    has been read whole, and its handler starts a moment later; at each
-    turn of the loop in between, idle connections are closed.
+    Idle connections are closed in each loop iteration from the time at which
+    the request has been read until its handler runs.
     """
     served, host, port = listener
     connection, reader, writer = await connect(served, host, port)
