--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -20,7 +20,7 @@
 from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
     OfferMessage,
@@ -222,7 +222,7 @@
         without this word a slot could be idle until then while work waits.
         """
         service = self.endpoint.announced.service
-        message = FreeMessage(self.app.incarnation, service, self.free)
+        message = FreeSlotsMessage(self.app.incarnation, service, self.free)
         for entry in self.reported_busy_to:
             address = self.addresses.get(entry, "")
             self.app.tasks.spawn(
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -45,10 +45,10 @@
 """The interval at which the settings file is checked for changes."""
 
 
-def _modified_ns(source: Path | None) -> int:
+def _modified_ns(path: Path | None) -> int:
     """Returns a file's modification time in nanoseconds, 0 if unknown."""
     try:
-        return source.stat().st_mtime_ns if source is not None else 0
+        return path.stat().st_mtime_ns if path is not None else 0
     except OSError:
         # The file is missing, possibly while it is being replaced.
         return 0
@@ -282,7 +282,7 @@
 
         self.metrics.gauge("control_bytes", traffic_bytes)
 
-    def reload(self) -> None:
+    def reload_settings(self) -> None:
         """Reloads the settings file and applies the changeable settings.
 
         An invalid file is logged and ignored.
@@ -302,14 +302,14 @@
         while True:
             await asyncio.sleep(_SETTINGS_CHECK_SECONDS)
             if _modified_ns(self.settings_path) != self.settings_modified_ns:
-                self.reload()
+                self.reload_settings()
 
     async def run(self) -> None:
         """Runs the role until SIGTERM or SIGINT, then drains it."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self.reload)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         self.load_extension(ROLE_MODULES[self.settings.role])
         for module in self.settings.extensions:
             self.load_extension(module)
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -18,7 +18,7 @@
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import (
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
     OfferMessage,
@@ -216,7 +216,7 @@
             for view in self.agents.values():
                 view.offered.discard(workspace)
 
-    def on_free(self, message: FreeMessage) -> None:
+    def on_free(self, message: FreeSlotsMessage) -> None:
         """Notes that an agent is busy no more, and tells it what waits."""
         view = self.agents.get(message.agent)
         if view is None:
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -17,7 +17,7 @@
 from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
 )
@@ -91,7 +91,7 @@
 
     async def on_free(self, request: web.Request) -> web.Response:
         """Takes an agent's word that it is busy no more."""
-        message = await read_message(request, FreeMessage)
+        message = await read_message(request, FreeSlotsMessage)
         self.dispatchers.get(ServiceId(message.service)).on_free(message)
         return json_response(Empty())
 
--- a/packages/fleet/src/marjoramyard/fleet/messages.py
+++ b/packages/fleet/src/marjoramyard/fleet/messages.py
@@ -107,7 +107,7 @@
     leaving: bool = False
 
 
-class FreeMessage(msgspec.Struct):
+class FreeSlotsMessage(msgspec.Struct):
     """An agent without queued work reports free slots to an entry."""
 
     agent: str
