--- a/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
@@ -254,14 +254,14 @@
         if step.kind is StepKind.ADD:
             await self._prepare_host(step)
         membership = apply_step(core.membership, step)
-        done = await self.role.running_node.change_membership(
+        result = await self.role.running_node.change_membership(
             membership, MEMBERSHIP_STEP_TIMEOUT_SECONDS
         )
         logger.info(
             "membership_step",
             step=step.kind.value,
             replica=step.replica,
-            done=isinstance(done, Ok),
+            done=isinstance(result, Ok),
         )
 
     def _available_hosts(self, now: float) -> list[Candidate]:
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -242,13 +242,13 @@
         command = await read_message(request, commands.Command)
         command = msgspec.structs.replace(command, at=time.time())
         self._check_signature(command)
-        done = await self.node.execute(command, COMMAND_TIMEOUT_SECONDS)
-        if isinstance(done, Err):
-            raise FleetError(done.err_value)
-        if done.ok_value.failure is not None:
-            raise FleetError(done.ok_value.failure)
+        result = await self.node.execute(command, COMMAND_TIMEOUT_SECONDS)
+        if isinstance(result, Err):
+            raise FleetError(result.err_value)
+        if result.ok_value.failure is not None:
+            raise FleetError(result.ok_value.failure)
         self.app.metrics.count("commands", sort=type(command).__name__)
-        return json_response(done.ok_value)
+        return json_response(result.ok_value)
 
     def _check_signature(self, command: commands.Command) -> None:
         """Checks the signature of a command before it is proposed.
@@ -395,11 +395,11 @@
         if isinstance(new_membership, Failure):
             raise FleetError(new_membership)
         if new_membership != node.core.membership:
-            done = await node.change_membership(
+            result = await node.change_membership(
                 new_membership, COMMAND_TIMEOUT_SECONDS
             )
-            if isinstance(done, Err):
-                raise FleetError(done.err_value)
+            if isinstance(result, Err):
+                raise FleetError(result.err_value)
             logger.info("membership_changed", action=change.action)
         return json_response(self.status())
 
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -133,7 +133,8 @@
     def take_pending_updates(self, peer: str) -> list[Registration]:
         """Returns registrations to announce to a control host and clears them.
 
-        All registrations are returned if the host has none yet.
+        For the first announcement to the host and after a failed one, these
+        are all registrations.
         """
         queue = self.pending_updates.get(peer)
         self.pending_updates[peer] = {}
@@ -185,15 +186,15 @@
 
     def newest_config(self) -> ConfigDocument | None:
         """Returns the newest locally applied configuration, unconfirmed."""
-        running = self.role.running_node
-        return running.state.config if running is not None else None
+        node = self.role.running_node
+        return node.state.config if node is not None else None
 
     async def put_config(
         self, document: ConfigDocument
     ) -> Result[None, Failure]:
         """Replicates a valid configuration; returns once it is committed."""
         started_at = time.monotonic()
-        done = await self._call_leader(
+        result = await self._call_leader(
             self._put_config_locally,
             paths.PUT_CONFIG_PATH,
             PutConfig(document),
@@ -202,19 +203,21 @@
         logger.info(
             "config_order",
             version=document.version,
-            outcome="accepted" if isinstance(done, Ok) else done.err_value.code,
+            outcome="accepted"
+            if isinstance(result, Ok)
+            else result.err_value.code,
             seconds=round(time.monotonic() - started_at, 3),
         )
-        return done
+        return result
 
     async def _put_config_locally(
         self, message: PutConfig
     ) -> Result[Empty, Failure]:
         node = self.role.running_node
-        done = await node.execute(
+        result = await node.execute(
             AcceptConfig(message.document, time.time()), COMMIT_TIMEOUT_SECONDS
         )
-        return done if isinstance(done, Err) else Ok(Empty())
+        return result if isinstance(result, Err) else Ok(Empty())
 
     async def read_config(self) -> Result[StoredConfig, Failure]:
         """Returns the newest configuration, confirmed by a quorum."""
@@ -249,17 +252,17 @@
         deadline = time.monotonic() + LEADER_WAIT_SECONDS
         while True:
             leader = self.role.leader_address()
-            done: Result = Err(no_quorum())
+            result: Result = Err(no_quorum())
             if leader == self.settings.reachable:
-                done = await call_locally(message)
+                result = await call_locally(message)
             elif leader:
-                done = await self.client.call(
+                result = await self.client.call(
                     leader, path, message, reply, COMMIT_TIMEOUT_SECONDS + 0.2
                 )
-            if isinstance(done, Ok) or time.monotonic() > deadline:
-                return done
-            if leader and done.err_value.kind is not Kind.NOT_LEADER:
-                return done
+            if isinstance(result, Ok) or time.monotonic() > deadline:
+                return result
+            if leader and result.err_value.kind is not Kind.NOT_LEADER:
+                return result
             await asyncio.sleep(0.05)
 
     async def on_put_config(self, message: PutConfig) -> Result[Empty, Failure]:
@@ -301,10 +304,10 @@
                 break
         confirmed = False
         if self.role.is_leader():
-            done = await self.role.running_node.confirm_leadership(
+            result = await self.role.running_node.confirm_leadership(
                 CONFIRM_TIMEOUT_SECONDS
             )
-            confirmed = isinstance(done, Ok)
+            confirmed = isinstance(result, Ok)
         return self._reply(request, confirmed)
 
     def _has_changes(self, request: SyncRequest) -> bool:
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -44,7 +44,7 @@
         suspects: Fingerprints of requests that may crash endpoints.
         quarantined_until: When each quarantine ends (monotonic).
         order: The newest order to the agent's endpoint, if any.
-        newest_order: The newest fencing number of the endpoint.
+        newest_order: The endpoint's newest fencing number; -1 if unknown.
         reported_lease: Whether the lease was held when it was last logged.
         on_bundle: Called after the bundle has changed.
         on_agents: Called after `agents` has changed.
