--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("left", [5.0, -1.0])
-def test_a_conviction_ends_with_its_quarantine(left):
+def test_a_quarantine_ends(left):
     router, _ = make_router()
     router._apply_suspects(
         RenewReply(8.0, 1, "c", suspects=["f"], convicted={"f": left})
