--- a/packages/fleet/src/marjoramyard/fleet/gateway/admitting.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
@@ -69,7 +69,7 @@
         return self.give_up_at - now
 
 
-class Claim(msgspec.Struct, frozen=True):
+class AdmittedRequest(msgspec.Struct, frozen=True):
     """What a request asks for, and in whose name.
 
     Attributes:
@@ -83,9 +83,9 @@
     arrived_at: float
 
 
-def check_claim(
+def admit(
     request: web.Request, view: FleetView, names: HeaderNames
-) -> Claim:
+) -> AdmittedRequest:
     """Finds a request's route and workspace.
 
     Raises:
@@ -113,11 +113,11 @@
             "back in a moment",
             retry_after=NO_LEASE_RETRY_SECONDS,
         )
-    return Claim(route, workspace, key, arrived_at)
+    return AdmittedRequest(route, workspace, key, arrived_at)
 
 
-def read_head(
-    request: web.Request, claim: Claim, names: HeaderNames
+def read_caller_request(
+    request: web.Request, claim: AdmittedRequest, names: HeaderNames
 ) -> CallerRequest:
     """Reads the rest of a request's head; its body is not read yet.
 
@@ -181,7 +181,7 @@
     Whatever steers an endpoint's memory, or says who calls, is the fleet's
     to set: a caller could read another one's prompt or take its place.
     """
-    dropped = names.not_passed_on | _named_by_connection(request)
+    dropped = names.not_forwarded | _named_by_connection(request)
     return [
         (name, value)
         for name, value in end_to_end(list(request.headers.items()))
--- a/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
@@ -10,7 +10,7 @@
 from yarl import URL
 
 from marjoramyard.coordination.membership.registrations import Registration
-from marjoramyard.fleet.gateway.admitting import CallerRequest
+from marjoramyard.fleet.gateway.admission import CallerRequest
 from marjoramyard.fleet.gateway.dialect import HeaderNames
 from marjoramyard.fleet.util.headers import Headers
 
@@ -93,7 +93,7 @@
 
 
 @asynccontextmanager
-async def sending(
+async def open_response(
     session: aiohttp.ClientSession,
     request: CallerRequest,
     plan: SendPlan,
@@ -129,13 +129,13 @@
     except (aiohttp.ClientError, OSError, ValueError) as error:
         raise SendFailedError(SendOutcome.BROKEN, repr(error)) from error
     try:
-        check_head(request, response, names)
+        check_response_head(request, response, names)
         yield response
     finally:
         response.close()
 
 
-def check_head(
+def check_response_head(
     request: CallerRequest, response: aiohttp.ClientResponse, names: HeaderNames
 ) -> None:
     """Checks that an answer is this request's, and that it was run.
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_link.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -9,27 +9,27 @@
 import msgspec
 
 from marjoramyard.coordination.routing.config import Service
-from marjoramyard.fleet.gateway.admitting import CallerRequest
-from marjoramyard.fleet.gateway.brokering import (
-    BEAT_SECONDS,
+from marjoramyard.fleet.gateway.admission import CallerRequest
+from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    SILENCE_SECONDS,
-    AskPlace,
-    Beat,
-    Ended,
+    BROKER_TIMEOUT_SECONDS,
+    HEARTBEAT_SECONDS,
+    Finished,
     FirstToken,
     FromBroker,
-    GrantPlace,
-    RefusePlace,
-    Running,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRefusal,
+    PlaceRequest,
+    RunningRequest,
     ToBroker,
     Withdraw,
     from_broker,
 )
-from marjoramyard.fleet.gateway.rushes import Rushes
+from marjoramyard.fleet.gateway.refusal_cache import RefusalCache
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.util.lag import LoopLag
-from marjoramyard.fleet.util.silence import Silence
+from marjoramyard.fleet.util.liveness import LivenessTimer
 from marjoramyard.fleet.util.tasks import TaskGroup
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.metrics import Metrics
@@ -40,7 +40,7 @@
 CONNECT_SECONDS = 0.4
 
 
-class BrokerLink:
+class BrokerClient:
     """One connection to the broker of a service."""
 
     def __init__(
@@ -49,12 +49,12 @@
         self.view = view
         self.session = session
         self.lag = lag
-        self.rushes = Rushes()
+        self.rushes = RefusalCache()
         self.socket: aiohttp.ClientWebSocketResponse | None = None
-        self.silence = Silence(SILENCE_SECONDS, BEAT_SECONDS)
+        self.silence = LivenessTimer(BROKER_TIMEOUT_SECONDS, HEARTBEAT_SECONDS)
         self.number = 0
         self.waiting: dict[int, asyncio.Future] = {}
-        self.running: dict[int, Running] = {}
+        self.running: dict[int, RunningRequest] = {}
         self.queue: list[ToBroker] = []
         self.flush_scheduled = False
 
@@ -73,7 +73,9 @@
 
     async def _follow(self, service: str, address: str) -> None:
         try:
-            socket = await Silence(CONNECT_SECONDS, BEAT_SECONDS).guard(
+            socket = await LivenessTimer(
+                CONNECT_SECONDS, HEARTBEAT_SECONDS
+            ).guard(
                 self.session.ws_connect(
                     f"http://{address}{BROKER_PATH}", compress=0
                 )
@@ -114,14 +116,14 @@
             logger.info("broker_close_failed", why=repr(error))
 
     def _take(self, told: FromBroker) -> None:
-        if isinstance(told, Beat):
+        if isinstance(told, Heartbeat):
             return
         future = self.waiting.pop(told.number, None)
         if future is not None and not future.done():
             future.set_result(told)
-        elif isinstance(told, GrantPlace):
+        elif isinstance(told, PlaceGrant):
             # Its caller left, or it went by our own estimate meanwhile.
-            self._send(Ended(told.number))
+            self._send(Finished(told.number))
 
     def _release_waiting(self) -> None:
         """Lets what waits for a lost broker go on without it."""
@@ -152,7 +154,7 @@
 
     async def place(
         self, caller: CallerRequest, service: Service, without: set[str]
-    ) -> tuple[int, GrantPlace | RefusePlace | None]:
+    ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
         """Asks for a place; None if no broker answers.
 
         Returns:
@@ -172,7 +174,7 @@
         future = asyncio.get_running_loop().create_future()
         self.waiting[number] = future
         self._send(
-            AskPlace(
+            PlaceRequest(
                 number,
                 service.name,
                 workspace,
@@ -185,7 +187,7 @@
         )
         try:
             told = await future
-            if isinstance(told, RefusePlace):
+            if isinstance(told, PlaceRefusal):
                 self.rushes.note(workspace, caller.route.name, told)
             return number, told
         finally:
@@ -195,11 +197,11 @@
     async def beat_forever(self) -> None:
         """Tells the broker that this host is there, while it holds grants."""
         while True:
-            await asyncio.sleep(BEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
             if self.waiting or any(r.tokens for r in self.running.values()):
-                self._send(Beat(self.lag.is_late))
+                self._send(Heartbeat(self.lag.is_late))
 
-    def started(self, running: Running, is_granted: bool) -> None:
+    def started(self, running: RunningRequest, is_granted: bool) -> None:
         """A request goes to its endpoint, with a grant or without one."""
         self.running[running.number] = running
         if not is_granted:
@@ -207,7 +209,7 @@
 
     def unused(self, number: int) -> None:
         """A grant is given back."""
-        self._send(Ended(number))
+        self._send(Finished(number))
 
     def first_token(self, number: int) -> None:
         """The first token of a request came."""
@@ -219,10 +221,10 @@
     def ended(self, number: int, failed: bool) -> None:
         """A request is no longer at its endpoint."""
         if self.running.pop(number, None) is not None:
-            self._send(Ended(number, failed))
+            self._send(Finished(number, failed))
 
 
-class BrokerLinks:
+class BrokerClients:
     """The links to the brokers of all services with engines."""
 
     def __init__(
@@ -235,7 +237,7 @@
         self.tasks = tasks
         self.view = view
         self.session = session
-        self.links: dict[str, BrokerLink] = {}
+        self.links: dict[str, BrokerClient] = {}
         self.lag = LoopLag(metrics)
         tasks.spawn(self.lag.watch())
         view.on_config.append(self._on_config)
@@ -245,11 +247,11 @@
             if service.engine is not None:
                 self.link(name)
 
-    def link(self, service: str) -> BrokerLink:
+    def link(self, service: str) -> BrokerClient:
         """Returns the link for a service."""
         link = self.links.get(service)
         if link is None:
-            link = BrokerLink(self.view, self.session, self.lag)
+            link = BrokerClient(self.view, self.session, self.lag)
             self.links[service] = link
             self.tasks.spawn(link.run(service))
             self.tasks.spawn(link.beat_forever())
@@ -257,7 +259,7 @@
 
 
 @asynccontextmanager
-async def broker_session() -> AsyncIterator[aiohttp.ClientSession]:
+async def open_broker_session() -> AsyncIterator[aiohttp.ClientSession]:
     """Owns the connections to brokers."""
     async with aiohttp.ClientSession() as session:
         yield session
--- a/packages/fleet/src/marjoramyard/fleet/gateway/brokering.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
@@ -5,15 +5,15 @@
 from marjoramyard.coordination.routing.table import PromptPart
 
 BROKER_PATH = "/fleet/v1/broker"
-BEAT_SECONDS = 0.1
+HEARTBEAT_SECONDS = 0.1
 """How often a broker says that it is there."""
-SILENCE_SECONDS = 0.4
+BROKER_TIMEOUT_SECONDS = 0.4
 """A broker that was not heard for so long is frozen or cut off. Requests
 then go by the gateway's own estimates; three missed beats, and a short
 pause of a busy host is not taken for one."""
 
 
-class AskPlace(msgspec.Struct, tag="ask", omit_defaults=True):
+class PlaceRequest(msgspec.Struct, tag="ask", omit_defaults=True):
     """A gateway asks where a request may run.
 
     Attributes:
@@ -57,7 +57,7 @@
     is_late: bool = False
 
 
-class Ended(msgspec.Struct, tag="ended", omit_defaults=True):
+class Finished(msgspec.Struct, tag="ended", omit_defaults=True):
     """A request is no longer at its endpoint.
 
     Attributes:
@@ -68,7 +68,7 @@
     failed: bool = False
 
 
-class Running(msgspec.Struct, tag="running"):
+class RunningRequest(msgspec.Struct, tag="running"):
     """A request that runs though this broker has not granted it."""
 
     number: int
@@ -80,7 +80,7 @@
     output_tokens: int = 0
 
 
-class GrantPlace(msgspec.Struct, tag="grant", omit_defaults=True):
+class PlaceGrant(msgspec.Struct, tag="grant", omit_defaults=True):
     """The request may go to this endpoint now."""
 
     number: int
@@ -89,7 +89,7 @@
     tokens: float = 0.0
 
 
-class RefusePlace(msgspec.Struct, tag="refuse", omit_defaults=True):
+class PlaceRefusal(msgspec.Struct, tag="refuse", omit_defaults=True):
     """The request would be late; it has not run.
 
     Attributes:
@@ -102,7 +102,7 @@
     over_ms: float = 0.0
 
 
-class Beat(msgspec.Struct, tag="beat", omit_defaults=True):
+class Heartbeat(msgspec.Struct, tag="beat", omit_defaults=True):
     """The sender is there.
 
     A broker says so all the time, a gateway while it has requests that wait
@@ -115,8 +115,10 @@
     is_late: bool = False
 
 
-ToBroker = AskPlace | Withdraw | FirstToken | Ended | Running | Beat
-FromBroker = GrantPlace | RefusePlace | Beat
+ToBroker = (
+    PlaceRequest | Withdraw | FirstToken | Finished | RunningRequest | Heartbeat
+)
+FromBroker = PlaceGrant | PlaceRefusal | Heartbeat
 
 to_broker = msgspec.json.Decoder(list[ToBroker])
 from_broker = msgspec.json.Decoder(list[FromBroker])
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -14,30 +14,30 @@
     Refused,
     Sent,
 )
-from marjoramyard.fleet.gateway.brokering import (
-    BEAT_SECONDS,
-    AskPlace,
-    Beat,
-    Ended,
+from marjoramyard.fleet.gateway.broker_protocol import (
+    HEARTBEAT_SECONDS,
+    Finished,
     FirstToken,
     FromBroker,
-    GrantPlace,
-    RefusePlace,
-    Running,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRefusal,
+    PlaceRequest,
+    RunningRequest,
     ToBroker,
     Withdraw,
     to_broker,
 )
-from marjoramyard.fleet.gateway.loads import reading_rate
+from marjoramyard.fleet.gateway.engine_load import prefill_rate
 from marjoramyard.fleet.gateway.view import FleetView
-from marjoramyard.fleet.util.silence import Silence
+from marjoramyard.fleet.util.liveness import LivenessTimer
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.metrics import Labels
 
 logger = get_logger(__name__)
 
 
-GATEWAY_SILENCE_SECONDS = 0.3
+GATEWAY_TIMEOUT_SECONDS = 0.3
 """A gateway that says nothing for so long won't send soon what it is granted.
 The smallest hosts get their processor in turns, with pauses of up to 0.1 s."""
 
@@ -53,7 +53,7 @@
         self.socket = socket
         self.queue: list[FromBroker] = []
         self.requests: dict[int, str] = {}
-        self.silence = Silence(GATEWAY_SILENCE_SECONDS, BEAT_SECONDS)
+        self.silence = LivenessTimer(GATEWAY_TIMEOUT_SECONDS, HEARTBEAT_SECONDS)
 
     @property
     def name(self) -> str:
@@ -65,7 +65,7 @@
         return f"{self.number}/{number}"
 
 
-class BrokerDesk:
+class BrokerServer:
     """Runs a broker for each service that gateways ask this host about."""
 
     def __init__(self, view: FleetView):
@@ -127,7 +127,7 @@
         broker = self.brokers.get(service)
         if broker is None:
             engines = len(self.view.registrations.usable(service))
-            rate = reading_rate(table.config, engines)
+            rate = prefill_rate(table.config, engines)
             broker = Broker(known.engine, rate)
             self.brokers[service] = broker
             logger.info("brokering", service=service, rate=round(rate, 1))
@@ -136,14 +136,14 @@
         return broker
 
     def _take(self, peer: Peer, told: ToBroker) -> None:
-        if isinstance(told, Beat):
+        if isinstance(told, Heartbeat):
             for broker in self.brokers.values():
                 broker.set_late(peer.name, told.is_late)
             return
-        if isinstance(told, AskPlace):
+        if isinstance(told, PlaceRequest):
             self._ask(peer, told)
             return
-        if isinstance(told, Running):
+        if isinstance(told, RunningRequest):
             self._adopt(peer, told)
             return
         service = peer.requests.get(told.number)
@@ -157,20 +157,20 @@
             broker.cancel(key)
             broker.ended(key)
             del peer.requests[told.number]
-        elif isinstance(told, Ended):
+        elif isinstance(told, Finished):
             self._ended(broker, key, told)
             del peer.requests[told.number]
 
-    def _ended(self, broker: Broker, key: str, told: Ended) -> None:
+    def _ended(self, broker: Broker, key: str, told: Finished) -> None:
         flight = broker.flights.get(key)
         if flight is not None and told.failed:
             self.view.health_of(flight.engine).failed(time.monotonic())
         broker.ended(key)
 
-    def _ask(self, peer: Peer, told: AskPlace) -> None:
+    def _ask(self, peer: Peer, told: PlaceRequest) -> None:
         broker = self._broker(told.service)
         if broker is None:
-            peer.queue.append(RefusePlace(told.number, 0.0, 0.0))
+            peer.queue.append(PlaceRefusal(told.number, 0.0, 0.0))
             return
         now = _now()
         ask = Ask(
@@ -190,7 +190,7 @@
         else:
             peer.requests[told.number] = told.service
 
-    def _adopt(self, peer: Peer, told: Running) -> None:
+    def _adopt(self, peer: Peer, told: RunningRequest) -> None:
         broker = self._broker(told.service)
         if broker is not None:
             peer.requests[told.number] = told.service
@@ -208,7 +208,7 @@
     @staticmethod
     def _tell_refusal(peer: Peer, number: int, refused: Refused) -> None:
         peer.queue.append(
-            RefusePlace(
+            PlaceRefusal(
                 number,
                 refused.retry_after_ms,
                 refused.predicted_ms,
@@ -243,7 +243,7 @@
             self._tell_refusal(peer, number, told)
             return
         peer.queue.append(
-            GrantPlace(number, told.endpoint, told.fetch_from, told.tokens)
+            PlaceGrant(number, told.endpoint, told.fetch_from, told.tokens)
         )
 
     @staticmethod
@@ -288,10 +288,10 @@
     async def beat_forever(self) -> None:
         """Tells gateways that this host is there, and counts their silence."""
         while True:
-            await asyncio.sleep(BEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
             for peer in self.peers.values():
                 self._step_silence(peer)
-                peer.queue.append(Beat())
+                peer.queue.append(Heartbeat())
             self._schedule_pump()
 
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/following.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -25,7 +25,7 @@
 """Some 40 s of failures: a host that nobody announces any more is dropped."""
 
 
-class Follower:
+class ControlSync:
     """Keeps a view up to date from all control hosts that are known."""
 
     def __init__(self, app: Application, view: FleetView):
--- a/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from marjoramyard.fleet.gateway.attempts import SendFailedError, SendOutcome
-from marjoramyard.fleet.gateway.events import EventCutter
+from marjoramyard.fleet.gateway.events import EventSplitter
 from marjoramyard.fleet.util.headers import copy_headers, end_to_end, is_stream
 
 
@@ -31,7 +31,7 @@
         self.request = request
         self.closes_connection = closes_connection
         self.response: web.StreamResponse | None = None
-        self.events = EventCutter()
+        self.events = EventSplitter()
         self.first_at = 0.0
         self.bytes_sent = 0
         self.written_at = 0.0
--- a/packages/fleet/src/marjoramyard/fleet/gateway/dialect.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/dialect.py
@@ -38,12 +38,12 @@
     token_counts: str = "Token-Counts"
     last_event: str = "Last-Event-Id"
     fetch_from: str = "Fetch-From"
-    ours: frozenset[str] = frozenset()
+    fleet_only: frozenset[str] = frozenset()
 
     @property
-    def not_passed_on(self) -> frozenset[str]:
+    def not_forwarded(self) -> frozenset[str]:
         """What a caller's header must not bring to an endpoint."""
-        return self.ours | {
+        return self.fleet_only | {
             self.api_key.lower(),
             self.workspace.lower(),
             self.target.lower(),
--- a/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
@@ -87,7 +87,7 @@
     return "\r\n".join(lines).encode("latin-1") + HEAD_END + response.body
 
 
-Judge = Callable[[RequestHead], bytes | None]
+RefusalCheck = Callable[[RequestHead], bytes | None]
 """Returns the whole response to a request that is refused."""
 
 
@@ -103,7 +103,7 @@
         behind: asyncio.Protocol,
         waits_for_request: Callable[[], bool],
         is_needed: Callable[[], bool],
-        judge: Judge,
+        judge: RefusalCheck,
     ):
         self.behind = behind
         self.waits_for_request = waits_for_request
--- a/packages/fleet/src/marjoramyard/fleet/gateway/loads.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/engine_load.py
@@ -13,7 +13,7 @@
 """Prompt tokens a millisecond where the configuration names no rate."""
 
 
-def reading_rate(config: FleetConfig, engines: int) -> float:
+def prefill_rate(config: FleetConfig, engines: int) -> float:
     """Estimates the prompt tokens that one engine reads in a millisecond."""
     total = config.limits.tokens_per_s
     if total <= 0 or engines <= 0:
@@ -21,7 +21,7 @@
     return READ_SHARE * total / engines / 1000
 
 
-class Loads:
+class EngineLoads:
     """Requests in flight, by endpoint."""
 
     def __init__(self):
--- a/packages/fleet/src/marjoramyard/fleet/gateway/events.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/events.py
@@ -3,7 +3,7 @@
 _END = b"\n\n"
 
 
-class EventCutter:
+class EventSplitter:
     """Collects bytes and hands out whole events.
 
     An endpoint may break off in the middle of an event. A caller that was
--- a/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from marjoramyard.fleet.util.spread import spread
+from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.kernel.errors import Failure, FleetError, Kind, failure
 
 LATE_SECONDS = 0.2
 """The loop's lateness above which fewer prompts are served at once."""
-LEAST_LIMIT = 16.0
+MIN_LIMIT = 16.0
 """So many the smallest host serves; a single late moment, such as a new
 configuration brings, is no flood."""
 DECREASE = 0.7
@@ -35,7 +35,7 @@
 gateway; back sooner, they would be refused again and have no further try."""
 
 
-class ServingLimit:
+class ConcurrencyLimit:
     """How many prompts may be in service here, in all and by workspace."""
 
     def __init__(self):
@@ -52,7 +52,7 @@
 
     def _is_mostly_of_one(self) -> bool:
         most = max(self.active.values(), default=0)
-        return self.total >= LEAST_LIMIT and most > self.total * FLOOD_SHARE
+        return self.total >= MIN_LIMIT and most > self.total * FLOOD_SHARE
 
     def on_wake_up(self, late_seconds: float) -> None:
         """Adapts the limit; called at each measured wake-up of the loop."""
@@ -60,7 +60,7 @@
             self.flooded_until = time.monotonic() + FLOODED_SECONDS
         if late_seconds > LATE_SECONDS:
             reached = min(self.limit, float(self.total))
-            self.limit = max(LEAST_LIMIT, reached * DECREASE)
+            self.limit = max(MIN_LIMIT, reached * DECREASE)
         elif self.total >= self.limit * IN_USE_SHARE:
             self.limit += INCREASE
 
@@ -105,7 +105,7 @@
         return failure(
             Kind.OVERLOADED,
             "this gateway has too many requests; come back later",
-            retry_after=spread(RETURN_SECONDS),
+            retry_after=jitter(RETURN_SECONDS),
         )
 
     def take_refused(self) -> Counter[str]:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -16,25 +16,29 @@
 from marjoramyard.coordination.placement.choice import place_prompt
 from marjoramyard.coordination.routing.config import Service
 from marjoramyard.coordination.serving.retries import RetryBudget
-from marjoramyard.fleet.gateway.admitting import CallerRequest
+from marjoramyard.fleet.gateway.admission import CallerRequest
 from marjoramyard.fleet.gateway.attempts import (
     SendFailedError,
     SendOutcome,
     SendPlan,
-    sending,
+    open_response,
 )
-from marjoramyard.fleet.gateway.broker_link import BrokerLinks
-from marjoramyard.fleet.gateway.brokering import (
-    GrantPlace,
-    RefusePlace,
-    Running,
+from marjoramyard.fleet.gateway.broker_client import BrokerClients
+from marjoramyard.fleet.gateway.broker_protocol import (
+    PlaceGrant,
+    PlaceRefusal,
+    RunningRequest,
 )
 from marjoramyard.fleet.gateway.delivery import Delivery
 from marjoramyard.fleet.gateway.dialect import HeaderNames
-from marjoramyard.fleet.gateway.loads import Flight, Loads, reading_rate
-from marjoramyard.fleet.gateway.story import PlacedBy, Story
+from marjoramyard.fleet.gateway.engine_load import (
+    EngineLoads,
+    Flight,
+    prefill_rate,
+)
+from marjoramyard.fleet.gateway.request_trace import PlacedBy, RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
-from marjoramyard.fleet.util.spread import spread
+from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.kernel.errors import (
     Failure,
     FleetError,
@@ -44,7 +48,7 @@
 )
 from marjoramyard.kernel.metrics import Metrics
 
-FULL_RETRY_SECONDS = 0.4
+BUSY_RETRY_SECONDS = 0.4
 """Where all endpoints are full: some requests' worth of reading."""
 MAX_CONNECT_TRIES = 4
 """Each takes half a second at the most; a caller's patience is seconds."""
@@ -52,7 +56,7 @@
 """A caller that is refused comes back no sooner than this."""
 
 
-class RunTools(msgspec.Struct, frozen=True):
+class RequestRunContext(msgspec.Struct, frozen=True):
     """What all runs of a gateway share.
 
     Attributes:
@@ -66,21 +70,21 @@
 
     view: FleetView
     session: aiohttp.ClientSession
-    brokers: BrokerLinks
-    loads: Loads
+    brokers: BrokerClients
+    loads: EngineLoads
     names: HeaderNames
     metrics: Metrics
 
 
-class Run:
+class RequestRun:
     """The sends of one request until it has its answer."""
 
     def __init__(
         self,
-        tools: RunTools,
+        tools: RequestRunContext,
         caller: CallerRequest,
         delivery: Delivery,
-        story: Story,
+        story: RequestTrace,
         service: Service,
         budget: RetryBudget,
     ):
@@ -126,7 +130,7 @@
         began = time.monotonic()
         number, told = await link.place(self.caller, self.service, self.tried)
         self.story.wait_ms += (time.monotonic() - began) * 1000
-        if isinstance(told, RefusePlace):
+        if isinstance(told, PlaceRefusal):
             self.story.predicted_ms = round(told.predicted_ms)
             raise FleetError(self._too_late(told))
         if told is None:
@@ -141,7 +145,7 @@
         self.story.placed_by = by
         self.tools.metrics.count("placements", by=by.value)
 
-    def _plan_granted(self, told: GrantPlace, number: int) -> SendPlan:
+    def _plan_granted(self, told: PlaceGrant, number: int) -> SendPlan:
         known = self.view.registrations.known
         word = known.get(told.endpoint)
         if word is None or word.state is not EndpointState.READY:
@@ -160,14 +164,14 @@
             True,
         )
 
-    def _too_late(self, told: RefusePlace) -> Failure:
+    def _too_late(self, told: PlaceRefusal) -> Failure:
         if self.may_have_run:
             return self._nowhere()
         seconds = max(told.retry_after_ms / 1000, MIN_RETRY_SECONDS)
         return failure(
             Kind.BUSY,
             "its answer would come too late; come back when the rush is over",
-            retry_after=spread(seconds),
+            retry_after=jitter(seconds),
         )
 
     def _check_key(self) -> None:
@@ -189,7 +193,7 @@
                     "the key can't be confirmed any more; come back in a "
                     "moment",
                     self._outcome(),
-                    FULL_RETRY_SECONDS,
+                    BUSY_RETRY_SECONDS,
                 )
             )
 
@@ -206,7 +210,7 @@
     def _plan_alone(self, words: list[Registration], number: int) -> SendPlan:
         """Places a prompt by what this gateway has in flight itself."""
         loads = self.tools.loads
-        loads.rate = reading_rate(self.view.table.config, len(words))
+        loads.rate = prefill_rate(self.view.table.config, len(words))
         profile = self.service.engine
         fetch_ms = 0.0
         if profile.link_mbps > 0:
@@ -243,7 +247,7 @@
             self.story.read_tokens += plan.tokens
             self.had_run = self.may_have_run
             self.may_have_run = True
-            async with sending(
+            async with open_response(
                 tools.session, self.caller, plan, tools.names
             ) as answer:
                 if answer.status >= 500 and self._may_try_again():
@@ -262,7 +266,7 @@
         failed = False
         if plan.number:
             link = self.tools.brokers.link(self.service.name)
-            running = Running(
+            running = RunningRequest(
                 plan.number,
                 self.service.name,
                 endpoint,
@@ -345,7 +349,7 @@
         return failure(
             Kind.NO_ENDPOINT,
             "no endpoint takes work now; come back in a moment",
-            retry_after=spread(FULL_RETRY_SECONDS),
+            retry_after=jitter(BUSY_RETRY_SECONDS),
         )
 
     def _lost(self, error: SendFailedError) -> Failure:
@@ -356,11 +360,11 @@
                 "have run",
                 Outcome.UNKNOWN,
             )
-        wait = error.retry_after or FULL_RETRY_SECONDS
+        wait = error.retry_after or BUSY_RETRY_SECONDS
         return failure(
             Kind.BUSY,
             "all endpoints that could be asked are full; come back later",
-            retry_after=spread(wait),
+            retry_after=jitter(wait),
         )
 
     def at_deadline(self) -> Failure:
@@ -374,5 +378,5 @@
         return failure(
             Kind.BUSY,
             "its time ran out before it could be sent; it has not run",
-            retry_after=spread(FULL_RETRY_SECONDS),
+            retry_after=jitter(BUSY_RETRY_SECONDS),
         )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/story.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_trace.py
@@ -13,7 +13,7 @@
     """No broker answered."""
 
 
-class Story(msgspec.Struct):
+class RequestTrace(msgspec.Struct):
     """What is logged of a request, as it unfolds."""
 
     sends: list[str] = []
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -7,15 +7,18 @@
 from aiohttp import web
 
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.gateway.broker_desk import BrokerDesk
-from marjoramyard.fleet.gateway.broker_link import BrokerLinks, broker_session
-from marjoramyard.fleet.gateway.brokering import BROKER_PATH
+from marjoramyard.fleet.gateway.broker_client import (
+    BrokerClients,
+    open_broker_session,
+)
+from marjoramyard.fleet.gateway.broker_protocol import BROKER_PATH
+from marjoramyard.fleet.gateway.broker_server import BrokerServer
 from marjoramyard.fleet.gateway.connections import CallerConnections
+from marjoramyard.fleet.gateway.control_sync import ControlSync
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.early_refusal import EarlyRefusal
-from marjoramyard.fleet.gateway.following import Follower
 from marjoramyard.fleet.gateway.serving import Dispatcher
-from marjoramyard.fleet.gateway.upstream import endpoint_session
+from marjoramyard.fleet.gateway.upstream import open_endpoint_session
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.logs import get_logger
 
@@ -130,17 +133,20 @@
     dialect = GATEWAY_DIALECTS.get(settings.dialect)
     lease_seconds = settings.revoke_ms / 1000 - LEASE_MARGIN_SECONDS
     view = FleetView(dialect, lease_seconds)
-    async with endpoint_session() as session, broker_session() as to_brokers:
-        brokers = BrokerLinks(app.tasks, view, to_brokers, app.metrics)
+    async with (
+        open_endpoint_session() as session,
+        open_broker_session() as to_brokers,
+    ):
+        brokers = BrokerClients(app.tasks, view, to_brokers, app.metrics)
         dispatcher = Dispatcher(view, session, brokers, app)
-        desk = BrokerDesk(view)
+        desk = BrokerServer(view)
         app.metrics.gauge("broker_wait_seconds", desk.waits)
         app.metrics.gauge("broker_requests", desk.requests)
         app.tasks.spawn(desk.beat_forever())
         app.tasks.spawn(desk.report_forever())
         app.tasks.spawn(dispatcher.report_overload_forever())
         role = GatewayRole(app, view, dispatcher)
-        app.tasks.spawn(Follower(app, view).run())
+        app.tasks.spawn(ControlSync(app, view).run())
         async with (
             app.serve(settings.internal, [web.get(BROKER_PATH, desk.serve)]),
             app.serve(
--- a/packages/fleet/src/marjoramyard/fleet/gateway/serving.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/serving.py
@@ -13,29 +13,29 @@
 from marjoramyard.coordination.routing.table import pick
 from marjoramyard.coordination.serving.retries import RetryBudget
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.gateway.admitting import (
+from marjoramyard.fleet.gateway.admission import (
+    AdmittedRequest,
     CallerRequest,
-    Claim,
-    check_claim,
-    read_head,
+    admit,
+    read_caller_request,
 )
-from marjoramyard.fleet.gateway.broker_link import BrokerLinks
+from marjoramyard.fleet.gateway.broker_client import BrokerClients
 from marjoramyard.fleet.gateway.delivery import CallerGoneError, Delivery
 from marjoramyard.fleet.gateway.early_refusal import (
     RequestHead,
     response_bytes,
 )
-from marjoramyard.fleet.gateway.loads import Loads
-from marjoramyard.fleet.gateway.overload import ServingLimit
-from marjoramyard.fleet.gateway.runs import (
-    FULL_RETRY_SECONDS,
-    Run,
-    RunTools,
+from marjoramyard.fleet.gateway.engine_load import EngineLoads
+from marjoramyard.fleet.gateway.overload import ConcurrencyLimit
+from marjoramyard.fleet.gateway.request_run import (
+    BUSY_RETRY_SECONDS,
+    RequestRun,
+    RequestRunContext,
 )
-from marjoramyard.fleet.gateway.story import Story
+from marjoramyard.fleet.gateway.request_trace import RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
+from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.fleet.util.rpc import failure_response
-from marjoramyard.fleet.util.spread import spread
 from marjoramyard.kernel.errors import Failure, FleetError, Kind, raise_failure
 from marjoramyard.kernel.logs import get_logger
 
@@ -56,7 +56,7 @@
         self,
         view: FleetView,
         session: aiohttp.ClientSession,
-        brokers: BrokerLinks,
+        brokers: BrokerClients,
         app: Application,
     ):
         self.view = view
@@ -67,10 +67,10 @@
         self.ends_at = float("inf")
         self.refuses = False
         self.names = view.dialect.headers
-        self.tools = RunTools(
-            view, session, brokers, Loads(), self.names, app.metrics
+        self.tools = RequestRunContext(
+            view, session, brokers, EngineLoads(), self.names, app.metrics
         )
-        self.limit = ServingLimit()
+        self.limit = ConcurrencyLimit()
         brokers.lag.on_wake_up.append(self.limit.on_wake_up)
         self.budgets: dict[str, RetryBudget] = {}
         self.active = 0
@@ -81,15 +81,15 @@
         self.active += 1
         self.begun += 1
         delivery = Delivery(request, self.closes_connections)
-        story = Story()
+        story = RequestTrace()
         began = time.monotonic()
         caller: CallerRequest | None = None
         status, why = 0, "caller-left"
         try:
             self._refuse_if_unable()
-            claim = check_claim(request, self.view, self.names)
+            claim = admit(request, self.view, self.names)
             with self._within_limit(claim):
-                caller = read_head(request, claim, self.names)
+                caller = read_caller_request(request, claim, self.names)
                 self._refuse_if_too_long(caller)
                 caller.body = await request.read()
                 response = await self._serve(caller, delivery, story)
@@ -137,7 +137,9 @@
             for destination in route.split
         )
 
-    def _within_limit(self, claim: Claim) -> AbstractContextManager[None]:
+    def _within_limit(
+        self, claim: AdmittedRequest
+    ) -> AbstractContextManager[None]:
         """Counts a prompt against the limit; others are served in no time."""
         if not self._needs_engine(claim.route):
             return nullcontext()
@@ -170,7 +172,7 @@
             raise_failure(
                 Kind.BUSY,
                 "this gateway has too many requests; send it to another one",
-                retry_after=spread(FULL_RETRY_SECONDS),
+                retry_after=jitter(BUSY_RETRY_SECONDS),
             )
 
     def _refuse_if_too_long(self, caller: CallerRequest) -> None:
@@ -230,13 +232,13 @@
         )
 
     async def _serve(
-        self, caller: CallerRequest, delivery: Delivery, story: Story
+        self, caller: CallerRequest, delivery: Delivery, story: RequestTrace
     ) -> web.StreamResponse:
         destination = pick(caller.route.split, random.random())
         budget = self._budget(destination.service)
         budget.on_request()
         service = self.view.table.services[destination.service]
-        run = Run(self.tools, caller, delivery, story, service, budget)
+        run = RequestRun(self.tools, caller, delivery, story, service, budget)
         try:
             async with asyncio.timeout_at(caller.give_up_at):
                 return await run.to_end()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
@@ -53,7 +53,7 @@
 
 
 @asynccontextmanager
-async def endpoint_session() -> AsyncIterator[aiohttp.ClientSession]:
+async def open_endpoint_session() -> AsyncIterator[aiohttp.ClientSession]:
     """Owns the connections to endpoints."""
     session = aiohttp.ClientSession(
         connector=StrictConnector(
--- a/packages/fleet/src/marjoramyard/fleet/util/silence.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/liveness.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 
-class Silence:
+class LivenessTimer:
     """How long a peer has been silent while this process could listen.
 
     Time alone doesn't tell: a process whose event loop is late finds that
--- a/packages/fleet/tests/gateway/granting_broker.py
+++ b/packages/fleet/tests/gateway/granting_broker.py
@@ -9,12 +9,12 @@
 import msgspec
 from aiohttp import WSMsgType, web
 
-from marjoramyard.fleet.gateway.brokering import (
-    BEAT_SECONDS,
+from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    AskPlace,
-    Beat,
-    GrantPlace,
+    HEARTBEAT_SECONDS,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRequest,
     to_broker,
 )
 
@@ -25,8 +25,8 @@
 
 async def beat_forever(socket):
     while True:
-        await send(socket, Beat())
-        await asyncio.sleep(BEAT_SECONDS)
+        await send(socket, Heartbeat())
+        await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
 async def serve(request):
@@ -38,8 +38,8 @@
             if message.type is not WSMsgType.TEXT:
                 continue
             for told in to_broker.decode(message.data):
-                if isinstance(told, AskPlace):
-                    await send(socket, GrantPlace(told.number, "e0"))
+                if isinstance(told, PlaceRequest):
+                    await send(socket, PlaceGrant(told.number, "e0"))
     finally:
         beats.cancel()
     return socket
--- a/packages/fleet/tests/gateway/test_broker_link.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -16,9 +16,12 @@
     Route,
     Service,
 )
-from marjoramyard.fleet.gateway.admitting import CallerRequest
-from marjoramyard.fleet.gateway.broker_link import BrokerLink
-from marjoramyard.fleet.gateway.brokering import SILENCE_SECONDS, GrantPlace
+from marjoramyard.fleet.gateway.admission import CallerRequest
+from marjoramyard.fleet.gateway.broker_client import BrokerClient
+from marjoramyard.fleet.gateway.broker_protocol import (
+    BROKER_TIMEOUT_SECONDS,
+    PlaceGrant,
+)
 from marjoramyard.fleet.util.lag import LoopLag
 from marjoramyard.kernel.metrics import Metrics
 
@@ -73,7 +76,7 @@
 async def linked(address, metrics):
     async with aiohttp.ClientSession() as session:
         lag = LoopLag(metrics)
-        link = BrokerLink(ViewOfOneBroker(address), session, lag)
+        link = BrokerClient(ViewOfOneBroker(address), session, lag)
         tasks = [
             asyncio.create_task(lag.watch()),
             asyncio.create_task(link.run("llm")),
@@ -128,9 +131,9 @@
         for _ in range(4):
             asked_before = asyncio.create_task(place(link))
             await asyncio.sleep(0)
-            hold_the_loop(SILENCE_SECONDS * 1.5)
-            assert isinstance(await place(link), GrantPlace)
-            assert isinstance(await asked_before, GrantPlace)
+            hold_the_loop(BROKER_TIMEOUT_SECONDS * 1.5)
+            assert isinstance(await place(link), PlaceGrant)
+            assert isinstance(await asked_before, PlaceGrant)
 
 
 async def test_a_frozen_broker_holds_no_request_for_long(metrics):
@@ -139,8 +142,8 @@
         broker_process() as (child, address),
         linked(address, metrics) as link,
     ):
-        assert isinstance(await place(link), GrantPlace)
+        assert isinstance(await place(link), PlaceGrant)
         child.send_signal(signal.SIGSTOP)
         began = time.monotonic()
         assert await place(link) is None
-        assert time.monotonic() - began < 3 * SILENCE_SECONDS
+        assert time.monotonic() - began < 3 * BROKER_TIMEOUT_SECONDS
--- a/packages/fleet/tests/gateway/test_broker_desk.py
+++ b/packages/fleet/tests/gateway/test_broker_server.py
@@ -15,15 +15,15 @@
     Service,
 )
 from marjoramyard.coordination.routing.table import RouteTable
-from marjoramyard.fleet.gateway.broker_desk import BrokerDesk
-from marjoramyard.fleet.gateway.brokering import (
-    BEAT_SECONDS,
+from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    AskPlace,
-    Beat,
-    GrantPlace,
+    HEARTBEAT_SECONDS,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRequest,
     from_broker,
 )
+from marjoramyard.fleet.gateway.broker_server import BrokerServer
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.view import FleetView
 
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 async def broker_url():
-    desk = BrokerDesk(view_of_one_engine())
+    desk = BrokerServer(view_of_one_engine())
     app = web.Application()
     app.add_routes([web.get(BROKER_PATH, desk.serve)])
     runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -68,7 +68,7 @@
 
 async def ask(socket, number, workspace, tokens=1800):
     part = (f"{workspace}-{number}", tokens)
-    asked = AskPlace(
+    asked = PlaceRequest(
         number, "llm", workspace, [part], 10, OBJECTIVE_MS, PATIENCE_MS
     )
     await socket.send_str(msgspec.json.encode([asked]).decode())
@@ -80,8 +80,8 @@
 
     async def beat_forever():
         while True:
-            await socket.send_str(msgspec.json.encode([Beat()]).decode())
-            await asyncio.sleep(BEAT_SECONDS)
+            await socket.send_str(msgspec.json.encode([Heartbeat()]).decode())
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
     task = asyncio.create_task(beat_forever())
     try:
@@ -107,10 +107,10 @@
     async with connected(broker_url) as silent, connected(broker_url) as sound:
         for number in range(1, 9):
             await ask(silent, number, "flood")
-        assert isinstance(await answer(silent, 1), GrantPlace)
+        assert isinstance(await answer(silent, 1), PlaceGrant)
         await ask(sound, 1, "small")
         async with beating(sound), asyncio.timeout(OBJECTIVE_MS / 1000):
-            assert isinstance(await answer(sound, 1), GrantPlace)
+            assert isinstance(await answer(sound, 1), PlaceGrant)
 
 
 async def test_a_gateway_that_is_heard_again_gets_its_grants(broker_url):
@@ -120,9 +120,9 @@
     async with connected(broker_url) as late, connected(broker_url) as sound:
         for number in range(1, 9):
             await ask(late, number, "flood")
-        assert isinstance(await answer(late, 2), GrantPlace)
+        assert isinstance(await answer(late, 2), PlaceGrant)
         await ask(sound, 1, "small")
         async with beating(sound):
-            assert isinstance(await answer(sound, 1), GrantPlace)
+            assert isinstance(await answer(sound, 1), PlaceGrant)
         async with beating(late), asyncio.timeout(OBJECTIVE_MS / 1000):
-            assert isinstance(await answer(late, 3), GrantPlace)
+            assert isinstance(await answer(late, 3), PlaceGrant)
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -4,8 +4,8 @@
 
 from marjoramyard.fleet.gateway.overload import (
     LATE_SECONDS,
-    LEAST_LIMIT,
-    ServingLimit,
+    MIN_LIMIT,
+    ConcurrencyLimit,
 )
 from marjoramyard.kernel.errors import FleetError, Kind
 
@@ -16,7 +16,7 @@
     """A limit and the prompts that are in service under it."""
 
     def __init__(self):
-        self.limit = ServingLimit()
+        self.limit = ConcurrencyLimit()
         self.running = []
 
     def enter(self, workspace, count):
@@ -84,7 +84,7 @@
     gateway.enter("w", 3)
     for _ in range(5):
         limit.on_wake_up(LATE)
-    gateway.enter("w", int(LEAST_LIMIT) - 4)
+    gateway.enter("w", int(MIN_LIMIT) - 4)
     assert limit.admits("w")
 
 
--- a/packages/fleet/tests/gateway/test_rushes.py
+++ b/packages/fleet/tests/gateway/test_refusal_cache.py
@@ -1,11 +1,11 @@
 """A gateway that knows the broker's next answer does not ask for it."""
 
-from marjoramyard.fleet.gateway import rushes
-from marjoramyard.fleet.gateway.brokering import RefusePlace
+from marjoramyard.fleet.gateway import refusal_cache
+from marjoramyard.fleet.gateway.broker_protocol import PlaceRefusal
 
 
 def refusal(over_ms):
-    return RefusePlace(1, 1500.0, 700.0, over_ms)
+    return PlaceRefusal(1, 1500.0, 700.0, over_ms)
 
 
 def test_a_known_refusal_holds_as_long_as_the_line_is_too_long(monkeypatch):
@@ -16,8 +16,8 @@
     routes are not touched, and afterwards the broker is asked again.
     """
     now = 100.0
-    monkeypatch.setattr(rushes.time, "monotonic", lambda: now)
-    known = rushes.Rushes()
+    monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
+    known = refusal_cache.RefusalCache()
     known.note("flood", "chat", refusal(30.0))
     assert known.find("flood", "chat") == refusal(30.0)
     assert known.find("flood", "guide") is None
@@ -28,14 +28,14 @@
 
 def test_no_refusal_holds_for_long(monkeypatch):
     now = 100.0
-    monkeypatch.setattr(rushes.time, "monotonic", lambda: now)
-    known = rushes.Rushes()
+    monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
+    known = refusal_cache.RefusalCache()
     known.note("flood", "chat", refusal(5000.0))
-    now = 100.0 + rushes.MAX_HELD_SECONDS
+    now = 100.0 + refusal_cache.MAX_HELD_SECONDS
     assert known.find("flood", "chat") is None
 
 
 def test_a_refusal_that_says_nothing_of_the_line_is_not_kept():
-    known = rushes.Rushes()
+    known = refusal_cache.RefusalCache()
     known.note("w", "chat", refusal(0.0))
     assert known.find("w", "chat") is None
--- a/packages/fleet/tests/gateway/test_runs.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -15,11 +15,11 @@
 )
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.coordination.serving.retries import RetryBudget
-from marjoramyard.fleet.gateway.admitting import CallerRequest
+from marjoramyard.fleet.gateway.admission import CallerRequest
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS, HeaderNames
-from marjoramyard.fleet.gateway.loads import Loads
-from marjoramyard.fleet.gateway.runs import Run, RunTools
-from marjoramyard.fleet.gateway.story import Story
+from marjoramyard.fleet.gateway.engine_load import EngineLoads
+from marjoramyard.fleet.gateway.request_run import RequestRun, RequestRunContext
+from marjoramyard.fleet.gateway.request_trace import RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.errors import FleetError, Kind
 from marjoramyard.kernel.metrics import Metrics
@@ -72,12 +72,17 @@
         give_up_at=now + 5,
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(is_late=is_late))
-    tools = RunTools(
-        view, SessionThatTimesOut(), brokers, Loads(), HeaderNames(), metrics
+    tools = RequestRunContext(
+        view,
+        SessionThatTimesOut(),
+        brokers,
+        EngineLoads(),
+        HeaderNames(),
+        metrics,
     )
     delivery = SimpleNamespace(events=SimpleNamespace(last_id=""))
     budget = RetryBudget(0.2, 10)
-    return Run(tools, caller, delivery, Story(), SERVICE, budget)
+    return RequestRun(tools, caller, delivery, RequestTrace(), SERVICE, budget)
 
 
 @pytest.mark.parametrize("is_late", [True, False])
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -198,7 +198,7 @@
 
 
 def test_callers_can_t_steer_an_engine_s_memory():
-    dropped = HEADERS.not_passed_on
+    dropped = HEADERS.not_forwarded
     for name in (
         "X-Api-Key",
         "X-Marjoramyard-Tenant",
