--- a/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
@@ -19,7 +19,7 @@
 
 NO_CONFIG_RETRY_SECONDS = 0.5
 """A gateway that starts gets its configuration within a few round trips."""
-PATH_MS = 20.0
+NETWORK_ALLOWANCE_MS = 20.0
 """A caller's patience began when it sent the request, and ends when the
 answer is there: a few ms each way, and what both sides take to write."""
 NO_LEASE_RETRY_SECONDS = 0.5
@@ -47,8 +47,8 @@
     route: Route
     workspace: Workspace | None
     arrived_at: float
-    give_up_at: float
-    keyed_by: str = ""
+    deadline_at: float
+    api_key: str = ""
     parts: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
     last_event: str = ""
@@ -59,14 +59,14 @@
         return self.route.may_repeat
 
     @property
-    def own_memory(self) -> float:
+    def unshared_memory_tokens(self) -> float:
         """What its run takes of an engine's memory beside shared parts."""
         own = self.parts[-1].tokens if self.parts else 0
         return float(own + self.output_tokens)
 
-    def left(self, now: float) -> float:
+    def seconds_left(self, now: float) -> float:
         """Returns how many seconds are left."""
-        return self.give_up_at - now
+        return self.deadline_at - now
 
 
 class AdmittedRequest(msgspec.Struct, frozen=True):
@@ -79,7 +79,7 @@
 
     route: Route
     workspace: Workspace | None
-    keyed_by: str
+    api_key: str
     arrived_at: float
 
 
@@ -106,7 +106,7 @@
             "no route has this host and path; compare with the configuration",
         )
     key, workspace = _workspace(request, route, table, names)
-    if workspace is not None and not view.lease_holds():
+    if workspace is not None and not view.has_valid_lease():
         raise_failure(
             Kind.NO_LEASE,
             "cut off from the control hosts, so keys can't be checked; come "
@@ -125,18 +125,18 @@
         FleetError: It can't be understood; it has not run.
     """
     route = claim.route
-    give_up_at = claim.arrived_at + _patience(request, route, names)
+    deadline_at = claim.arrived_at + _seconds_allowed(request, route, names)
     return CallerRequest(
         attempt=request.headers.get(names.attempt, ""),
         method=request.method,
         target=request.raw_path,
-        headers=_passed_on(request, names),
+        headers=_forwarded_headers(request, names),
         body=b"",
         route=route,
         workspace=claim.workspace,
         arrived_at=claim.arrived_at,
-        give_up_at=give_up_at,
-        keyed_by=claim.keyed_by,
+        deadline_at=deadline_at,
+        api_key=claim.api_key,
         parts=parse_prompt_parts(request.headers.get(names.prompt_parts, "")),
         output_tokens=_output_tokens(request, names),
         last_event=request.headers.get(names.last_event, ""),
@@ -158,13 +158,15 @@
     return key, workspace
 
 
-def _patience(request: web.Request, route: Route, names: HeaderNames) -> float:
+def _seconds_allowed(
+    request: web.Request, route: Route, names: HeaderNames
+) -> float:
     """Returns the seconds until the final answer is due."""
     allowed = route.timeout_ms
     text = request.headers.get(names.deadline_ms, "")
     try:
         if text:
-            allowed = min(allowed, float(text) - PATH_MS)
+            allowed = min(allowed, float(text) - NETWORK_ALLOWANCE_MS)
     except ValueError:
         raise_failure(Kind.BAD_REQUEST, f"{names.deadline_ms} must be a number")
     return max(0.0, allowed / 1000)
@@ -175,7 +177,7 @@
     return int(text) if text.strip().isdigit() else 0
 
 
-def _passed_on(request: web.Request, names: HeaderNames) -> Headers:
+def _forwarded_headers(request: web.Request, names: HeaderNames) -> Headers:
     """Returns the headers for the endpoint.
 
     Whatever steers an endpoint's memory, or says who calls, is the fleet's
--- a/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
@@ -40,13 +40,13 @@
     def __init__(
         self,
         outcome: SendOutcome,
-        why: str,
+        reason: str,
         retry_after: float = 0.0,
         timed_out: bool = False,
     ):
-        super().__init__(f"{outcome.value}: {why}")
+        super().__init__(f"{outcome.value}: {reason}")
         self.outcome = outcome
-        self.why = why
+        self.reason = reason
         self.retry_after = retry_after
         self.timed_out = timed_out
 
@@ -66,8 +66,8 @@
     endpoint: Registration
     fetch_from: str = ""
     last_event: str = ""
-    tokens: float = 0.0
-    number: int = 0
+    prefill_tokens: float = 0.0
+    broker_number: int = 0
     is_granted: bool = False
 
 
@@ -75,7 +75,7 @@
     request: CallerRequest, plan: SendPlan, names: HeaderNames, now: float
 ) -> Headers:
     """Returns the headers of a send."""
-    left_ms = max(1, int(request.left(now) * 1000))
+    left_ms = max(1, int(request.seconds_left(now) * 1000))
     headers = [
         (name, value)
         for name, value in request.headers
@@ -153,14 +153,14 @@
         raise SendFailedError(
             SendOutcome.REFUSED,
             f"status {response.status}",
-            _seconds(response.headers.get("Retry-After", "")),
+            _parse_seconds(response.headers.get("Retry-After", "")),
         )
     if response.status < 300:
         if not echoed or names.signature not in response.headers:
             raise SendFailedError(SendOutcome.BROKEN, "unsigned answer")
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         return float(text)
     except ValueError:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -13,18 +13,18 @@
 from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
     BROKER_TIMEOUT_SECONDS,
-    HEARTBEAT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    BrokerMessage,
     Finished,
     FirstToken,
-    FromBroker,
+    GatewayMessage,
     Heartbeat,
     PlaceGrant,
     PlaceRefusal,
     PlaceRequest,
     RunningRequest,
-    ToBroker,
     Withdraw,
-    from_broker,
+    broker_message_decoder,
 )
 from marjoramyard.fleet.gateway.refusal_cache import RefusalCache
 from marjoramyard.fleet.gateway.view import FleetView
@@ -49,33 +49,35 @@
         self.view = view
         self.session = session
         self.lag = lag
-        self.rushes = RefusalCache()
+        self.refusals = RefusalCache()
         self.socket: aiohttp.ClientWebSocketResponse | None = None
-        self.silence = LivenessTimer(BROKER_TIMEOUT_SECONDS, HEARTBEAT_SECONDS)
-        self.number = 0
-        self.waiting: dict[int, asyncio.Future] = {}
+        self.liveness = LivenessTimer(
+            BROKER_TIMEOUT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
+        )
+        self.last_number = 0
+        self.pending: dict[int, asyncio.Future] = {}
         self.running: dict[int, RunningRequest] = {}
-        self.queue: list[ToBroker] = []
+        self.outbox: list[GatewayMessage] = []
         self.flush_scheduled = False
 
     @property
-    def is_up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether a broker answers."""
-        return self.socket is not None and not self.silence.is_over_limit
+        return self.socket is not None and not self.liveness.has_expired
 
     async def run(self, service: str) -> None:
         """Keeps connected to the service's broker until cancelled."""
         while True:
             address = self.view.broker_of(service)
             if address:
-                await self._follow(service, address)
+                await self._connect(service, address)
             await asyncio.sleep(RECONNECT_SECONDS)
 
-    async def _follow(self, service: str, address: str) -> None:
+    async def _connect(self, service: str, address: str) -> None:
         try:
             socket = await LivenessTimer(
-                CONNECT_SECONDS, HEARTBEAT_SECONDS
-            ).guard(
+                CONNECT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
+            ).wait_for(
                 self.session.ws_connect(
                     f"http://{address}{BROKER_PATH}", compress=0
                 )
@@ -85,16 +87,16 @@
             return
         logger.info("broker_found", service=service, broker=address)
         self.socket = socket
-        self.silence.heard()
-        self.queue = list(self.running.values())
+        self.liveness.reset()
+        self.outbox = list(self.running.values())
         self._schedule_flush()
         try:
-            await self.silence.guard(self._read(service, address, socket))
+            await self.liveness.wait_for(self._read(service, address, socket))
         except TimeoutError:
             logger.info("broker_silent", service=service, broker=address)
         finally:
             self.socket = None
-            self._release_waiting()
+            self._release_pending()
             await self._close(socket)
             logger.info("broker_lost", service=service, broker=address)
 
@@ -103,9 +105,9 @@
             message = await socket.receive()
             if message.type is not aiohttp.WSMsgType.TEXT:
                 return
-            self.silence.heard()
-            for told in from_broker.decode(message.data):
-                self._take(told)
+            self.liveness.reset()
+            for reply in broker_message_decoder.decode(message.data):
+                self._on_message(reply)
 
     @staticmethod
     async def _close(socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -115,27 +117,27 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             logger.info("broker_close_failed", why=repr(error))
 
-    def _take(self, told: FromBroker) -> None:
-        if isinstance(told, Heartbeat):
+    def _on_message(self, reply: BrokerMessage) -> None:
+        if isinstance(reply, Heartbeat):
             return
-        future = self.waiting.pop(told.number, None)
+        future = self.pending.pop(reply.number, None)
         if future is not None and not future.done():
-            future.set_result(told)
-        elif isinstance(told, PlaceGrant):
+            future.set_result(reply)
+        elif isinstance(reply, PlaceGrant):
             # Its caller left, or it went by our own estimate meanwhile.
-            self._send(Finished(told.number))
+            self._send(Finished(reply.number))
 
-    def _release_waiting(self) -> None:
+    def _release_pending(self) -> None:
         """Lets what waits for a lost broker go on without it."""
-        waiting, self.waiting = self.waiting, {}
-        for future in waiting.values():
+        pending, self.pending = self.pending, {}
+        for future in pending.values():
             if not future.done():
                 future.set_result(None)
 
-    def _send(self, message: ToBroker) -> None:
+    def _send(self, message: GatewayMessage) -> None:
         if self.socket is None:
             return
-        self.queue.append(message)
+        self.outbox.append(message)
         self._schedule_flush()
 
     def _schedule_flush(self) -> None:
@@ -146,14 +148,14 @@
 
     def _flush(self) -> None:
         self.flush_scheduled = False
-        queue, self.queue = self.queue, []
-        if queue and self.socket is not None and not self.socket.closed:
-            data = msgspec.json.encode(queue).decode()
+        outbox, self.outbox = self.outbox, []
+        if outbox and self.socket is not None and not self.socket.closed:
+            data = msgspec.json.encode(outbox).decode()
             task = asyncio.ensure_future(self.socket.send_str(data))
             task.add_done_callback(_log_send)
 
     async def place(
-        self, caller: CallerRequest, service: Service, without: set[str]
+        self, caller: CallerRequest, service: Service, excluded: set[str]
     ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
         """Asks for a place; None if no broker answers.
 
@@ -161,18 +163,18 @@
             The request's number, for what is told of it later, and the
             broker's answer.
         """
-        self.number += 1
-        number = self.number
-        if not self.is_up:
+        self.last_number += 1
+        number = self.last_number
+        if not self.is_connected:
             return number, None
         workspace = caller.workspace.name if caller.workspace else ""
-        known = self.rushes.find(workspace, caller.route.name)
+        known = self.refusals.find(workspace, caller.route.name)
         if known is not None:
             return number, known
         now = time.monotonic()
         due = caller.arrived_at + caller.route.objective_ms / 1000 - now
         future = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending[number] = future
         self._send(
             PlaceRequest(
                 number,
@@ -181,44 +183,44 @@
                 [(part.digest, part.tokens) for part in caller.parts],
                 caller.output_tokens,
                 due * 1000,
-                caller.left(now) * 1000,
-                sorted(without),
+                caller.seconds_left(now) * 1000,
+                sorted(excluded),
             )
         )
         try:
-            told = await future
-            if isinstance(told, PlaceRefusal):
-                self.rushes.note(workspace, caller.route.name, told)
-            return number, told
+            reply = await future
+            if isinstance(reply, PlaceRefusal):
+                self.refusals.add(workspace, caller.route.name, reply)
+            return number, reply
         finally:
-            if self.waiting.pop(number, None) is not None:
+            if self.pending.pop(number, None) is not None:
                 self._send(Withdraw(number))
 
-    async def beat_forever(self) -> None:
+    async def send_heartbeats_forever(self) -> None:
         """Tells the broker that this host is there, while it holds grants."""
         while True:
-            await asyncio.sleep(HEARTBEAT_SECONDS)
-            if self.waiting or any(r.tokens for r in self.running.values()):
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+            if self.pending or any(r.tokens for r in self.running.values()):
                 self._send(Heartbeat(self.lag.is_late))
 
-    def started(self, running: RunningRequest, is_granted: bool) -> None:
+    def on_started(self, running: RunningRequest, is_granted: bool) -> None:
         """A request goes to its endpoint, with a grant or without one."""
         self.running[running.number] = running
         if not is_granted:
             self._send(running)
 
-    def unused(self, number: int) -> None:
+    def return_grant(self, number: int) -> None:
         """A grant is given back."""
         self._send(Finished(number))
 
-    def first_token(self, number: int) -> None:
+    def on_first_token(self, number: int) -> None:
         """The first token of a request came."""
         running = self.running.get(number)
         if running is not None and running.tokens:
             running.tokens = 0.0
             self._send(FirstToken(number, self.lag.is_late))
 
-    def ended(self, number: int, failed: bool) -> None:
+    def on_finished(self, number: int, failed: bool) -> None:
         """A request is no longer at its endpoint."""
         if self.running.pop(number, None) is not None:
             self._send(Finished(number, failed))
@@ -237,7 +239,7 @@
         self.tasks = tasks
         self.view = view
         self.session = session
-        self.links: dict[str, BrokerClient] = {}
+        self.clients: dict[str, BrokerClient] = {}
         self.lag = LoopLag(metrics)
         tasks.spawn(self.lag.watch())
         view.on_config.append(self._on_config)
@@ -245,17 +247,17 @@
     def _on_config(self) -> None:
         for name, service in self.view.table.services.items():
             if service.engine is not None:
-                self.link(name)
+                self.client_for(name)
 
-    def link(self, service: str) -> BrokerClient:
+    def client_for(self, service: str) -> BrokerClient:
         """Returns the link for a service."""
-        link = self.links.get(service)
-        if link is None:
-            link = BrokerClient(self.view, self.session, self.lag)
-            self.links[service] = link
-            self.tasks.spawn(link.run(service))
-            self.tasks.spawn(link.beat_forever())
-        return link
+        client = self.clients.get(service)
+        if client is None:
+            client = BrokerClient(self.view, self.session, self.lag)
+            self.clients[service] = client
+            self.tasks.spawn(client.run(service))
+            self.tasks.spawn(client.send_heartbeats_forever())
+        return client
 
 
 @asynccontextmanager
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
@@ -5,7 +5,7 @@
 from marjoramyard.coordination.routing.table import PromptPart
 
 BROKER_PATH = "/fleet/v1/broker"
-HEARTBEAT_SECONDS = 0.1
+HEARTBEAT_INTERVAL_SECONDS = 0.1
 """How often a broker says that it is there."""
 BROKER_TIMEOUT_SECONDS = 0.4
 """A broker that was not heard for so long is frozen or cut off. Requests
@@ -115,10 +115,10 @@
     is_late: bool = False
 
 
-ToBroker = (
+GatewayMessage = (
     PlaceRequest | Withdraw | FirstToken | Finished | RunningRequest | Heartbeat
 )
-FromBroker = PlaceGrant | PlaceRefusal | Heartbeat
+BrokerMessage = PlaceGrant | PlaceRefusal | Heartbeat
 
-to_broker = msgspec.json.Decoder(list[ToBroker])
-from_broker = msgspec.json.Decoder(list[FromBroker])
+gateway_message_decoder = msgspec.json.Decoder(list[GatewayMessage])
+broker_message_decoder = msgspec.json.Decoder(list[BrokerMessage])
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -15,20 +15,20 @@
     Sent,
 )
 from marjoramyard.fleet.gateway.broker_protocol import (
-    HEARTBEAT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    BrokerMessage,
     Finished,
     FirstToken,
-    FromBroker,
+    GatewayMessage,
     Heartbeat,
     PlaceGrant,
     PlaceRefusal,
     PlaceRequest,
     RunningRequest,
-    ToBroker,
     Withdraw,
-    to_broker,
+    gateway_message_decoder,
 )
-from marjoramyard.fleet.gateway.engine_load import prefill_rate
+from marjoramyard.fleet.gateway.engine_load import estimate_prefill_rate
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.util.liveness import LivenessTimer
 from marjoramyard.kernel.logs import get_logger
@@ -42,18 +42,20 @@
 The smallest hosts get their processor in turns, with pauses of up to 0.1 s."""
 
 
-REPORT_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 
 
-class Peer:
+class GatewayConnection:
     """A gateway that asks."""
 
     def __init__(self, number: int, socket: web.WebSocketResponse):
         self.number = number
         self.socket = socket
-        self.queue: list[FromBroker] = []
+        self.outbox: list[BrokerMessage] = []
         self.requests: dict[int, str] = {}
-        self.silence = LivenessTimer(GATEWAY_TIMEOUT_SECONDS, HEARTBEAT_SECONDS)
+        self.liveness = LivenessTimer(
+            GATEWAY_TIMEOUT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
+        )
 
     @property
     def name(self) -> str:
@@ -71,53 +73,55 @@
     def __init__(self, view: FleetView):
         self.view = view
         self.brokers: dict[str, Broker] = {}
-        self.peers: dict[int, Peer] = {}
-        self.counter = 0
-        self.pump_scheduled = False
+        self.gateways: dict[int, GatewayConnection] = {}
+        self.last_gateway_number = 0
+        self.dispatch_scheduled = False
 
     async def serve(self, request: web.Request) -> web.WebSocketResponse:
         """Serves one gateway until it goes."""
         socket = web.WebSocketResponse(compress=False)
         await socket.prepare(request)
-        self.counter += 1
-        peer = Peer(self.counter, socket)
-        self.peers[peer.number] = peer
+        self.last_gateway_number += 1
+        gateway = GatewayConnection(self.last_gateway_number, socket)
+        self.gateways[gateway.number] = gateway
         try:
-            async for message in socket:
-                if message.type is aiohttp.WSMsgType.TEXT:
-                    self._heard(peer)
-                    for told in to_broker.decode(message.data):
-                        self._take(peer, told)
-                    self._schedule_pump()
+            async for frame in socket:
+                if frame.type is aiohttp.WSMsgType.TEXT:
+                    self._on_activity(gateway)
+                    for message in gateway_message_decoder.decode(frame.data):
+                        self._on_message(gateway, message)
+                    self._schedule_dispatch()
         except ConnectionError as error:
-            logger.info("broker_peer_lost", peer=peer.number, why=repr(error))
+            logger.info(
+                "broker_peer_lost", gateway=gateway.number, why=repr(error)
+            )
         finally:
-            del self.peers[peer.number]
-            self._forget(peer)
+            del self.gateways[gateway.number]
+            self._remove(gateway)
         return socket
 
-    def _heard(self, peer: Peer) -> None:
-        if peer.silence.is_over_limit:
+    def _on_activity(self, gateway: GatewayConnection) -> None:
+        if gateway.liveness.has_expired:
             for broker in self.brokers.values():
-                broker.resume(peer.name)
-        peer.silence.heard()
+                broker.resume(gateway.name)
+        gateway.liveness.reset()
 
-    def _step_silence(self, peer: Peer) -> None:
-        was_over_limit = peer.silence.is_over_limit
-        peer.silence.step()
-        if peer.silence.is_over_limit and not was_over_limit:
+    def _check_liveness(self, gateway: GatewayConnection) -> None:
+        had_expired = gateway.liveness.has_expired
+        gateway.liveness.tick()
+        if gateway.liveness.has_expired and not had_expired:
             for broker in self.brokers.values():
-                broker.suspend(peer.name, _now())
+                broker.suspend(gateway.name, _now())
 
-    def _forget(self, peer: Peer) -> None:
+    def _remove(self, gateway: GatewayConnection) -> None:
         """Its requests have ended: its endpoints' connections are closed."""
         for broker in self.brokers.values():
-            broker.set_late(peer.name, False)
-        for number, service in peer.requests.items():
+            broker.set_late(gateway.name, False)
+        for number, service in gateway.requests.items():
             broker = self.brokers[service]
-            broker.cancel(peer.key(number))
-            broker.ended(peer.key(number))
-        self._schedule_pump()
+            broker.cancel(gateway.key(number))
+            broker.ended(gateway.key(number))
+        self._schedule_dispatch()
 
     def _broker(self, service: str) -> Broker | None:
         table = self.view.table
@@ -127,7 +131,7 @@
         broker = self.brokers.get(service)
         if broker is None:
             engines = len(self.view.registrations.usable(service))
-            rate = prefill_rate(table.config, engines)
+            rate = estimate_prefill_rate(table.config, engines)
             broker = Broker(known.engine, rate)
             self.brokers[service] = broker
             logger.info("brokering", service=service, rate=round(rate, 1))
@@ -135,79 +139,87 @@
         broker.set_engines(word.endpoint for word in usable)
         return broker
 
-    def _take(self, peer: Peer, told: ToBroker) -> None:
-        if isinstance(told, Heartbeat):
+    def _on_message(
+        self, gateway: GatewayConnection, message: GatewayMessage
+    ) -> None:
+        if isinstance(message, Heartbeat):
             for broker in self.brokers.values():
-                broker.set_late(peer.name, told.is_late)
+                broker.set_late(gateway.name, message.is_late)
             return
-        if isinstance(told, PlaceRequest):
-            self._ask(peer, told)
+        if isinstance(message, PlaceRequest):
+            self._submit(gateway, message)
             return
-        if isinstance(told, RunningRequest):
-            self._adopt(peer, told)
+        if isinstance(message, RunningRequest):
+            self._add_unbrokered(gateway, message)
             return
-        service = peer.requests.get(told.number)
+        service = gateway.requests.get(message.number)
         if service is None:
             return
         broker = self.brokers[service]
-        key = peer.key(told.number)
-        if isinstance(told, FirstToken):
-            broker.first_token(key, _now(), not told.is_late)
-        elif isinstance(told, Withdraw):
+        key = gateway.key(message.number)
+        if isinstance(message, FirstToken):
+            broker.first_token(key, _now(), not message.is_late)
+        elif isinstance(message, Withdraw):
             broker.cancel(key)
             broker.ended(key)
-            del peer.requests[told.number]
-        elif isinstance(told, Finished):
-            self._ended(broker, key, told)
-            del peer.requests[told.number]
+            del gateway.requests[message.number]
+        elif isinstance(message, Finished):
+            self._on_finished(broker, key, message)
+            del gateway.requests[message.number]
 
-    def _ended(self, broker: Broker, key: str, told: Finished) -> None:
+    def _on_finished(self, broker: Broker, key: str, message: Finished) -> None:
         flight = broker.flights.get(key)
-        if flight is not None and told.failed:
+        if flight is not None and message.failed:
             self.view.health_of(flight.engine).failed(time.monotonic())
         broker.ended(key)
 
-    def _ask(self, peer: Peer, told: PlaceRequest) -> None:
-        broker = self._broker(told.service)
+    def _submit(
+        self, gateway: GatewayConnection, message: PlaceRequest
+    ) -> None:
+        broker = self._broker(message.service)
         if broker is None:
-            peer.queue.append(PlaceRefusal(told.number, 0.0, 0.0))
+            gateway.outbox.append(PlaceRefusal(message.number, 0.0, 0.0))
             return
         now = _now()
         ask = Ask(
-            key=peer.key(told.number),
-            workspace=told.workspace,
-            parts=told.prompt(),
-            output_tokens=told.output_tokens,
-            aim_at=now + told.due_ms,
-            give_up_at=now + told.left_ms,
+            key=gateway.key(message.number),
+            workspace=message.workspace,
+            parts=message.prompt(),
+            output_tokens=message.output_tokens,
+            aim_at=now + message.due_ms,
+            give_up_at=now + message.left_ms,
             asked_at=now,
-            without=frozenset(told.without),
-            router=peer.name,
+            without=frozenset(message.without),
+            router=gateway.name,
         )
         refused = broker.ask(ask, now)
         if refused is not None:
-            self._tell_refusal(peer, told.number, refused)
+            self._send_refusal(gateway, message.number, refused)
         else:
-            peer.requests[told.number] = told.service
+            gateway.requests[message.number] = message.service
 
-    def _adopt(self, peer: Peer, told: RunningRequest) -> None:
-        broker = self._broker(told.service)
+    def _add_unbrokered(
+        self, gateway: GatewayConnection, message: RunningRequest
+    ) -> None:
+        broker = self._broker(message.service)
         if broker is not None:
-            peer.requests[told.number] = told.service
+            gateway.requests[message.number] = message.service
             sent = Sent(
-                key=peer.key(told.number),
-                endpoint=told.endpoint,
-                tokens=told.tokens,
-                memory=told.memory,
-                workspace=told.workspace,
-                output_tokens=told.output_tokens,
-                router=peer.name,
+                key=gateway.key(message.number),
+                endpoint=message.endpoint,
+                tokens=message.tokens,
+                memory=message.memory,
+                workspace=message.workspace,
+                output_tokens=message.output_tokens,
+                router=gateway.name,
             )
             broker.adopt(sent, _now())
 
     @staticmethod
-    def _tell_refusal(peer: Peer, number: int, refused: Refused) -> None:
-        peer.queue.append(
+    def _send_refusal(
+        gateway: GatewayConnection, number: int, refused: Refused
+    ) -> None:
+        gateway.outbox.append(
             PlaceRefusal(
                 number,
                 refused.retry_after_ms,
@@ -216,48 +228,50 @@
             )
         )
 
-    def _schedule_pump(self) -> None:
-        if not self.pump_scheduled:
-            self.pump_scheduled = True
-            asyncio.get_running_loop().call_soon(self._pump)
+    def _schedule_dispatch(self) -> None:
+        if not self.dispatch_scheduled:
+            self.dispatch_scheduled = True
+            asyncio.get_running_loop().call_soon(self._dispatch)
 
-    def _pump(self) -> None:
-        self.pump_scheduled = False
+    def _dispatch(self) -> None:
+        self.dispatch_scheduled = False
         now = _now()
         for service, broker in self.brokers.items():
             if self._broker(service) is None:
                 continue
-            for told in [*broker.overdue(now), *broker.pump(now)]:
-                self._tell(told)
-        for peer in self.peers.values():
-            self._flush(peer)
-
-    def _tell(self, told: Granted | Refused) -> None:
-        peer_number, _, text = told.key.partition("/")
-        peer = self.peers.get(int(peer_number))
-        if peer is None:
+            for message in [*broker.overdue(now), *broker.pump(now)]:
+                self._notify(message)
+        for gateway in self.gateways.values():
+            self._flush(gateway)
+
+    def _notify(self, message: Granted | Refused) -> None:
+        gateway_number, _, text = message.key.partition("/")
+        gateway = self.gateways.get(int(gateway_number))
+        if gateway is None:
             return
         number = int(text)
-        if isinstance(told, Refused):
-            peer.requests.pop(number, None)
-            self._tell_refusal(peer, number, told)
+        if isinstance(message, Refused):
+            gateway.requests.pop(number, None)
+            self._send_refusal(gateway, number, message)
             return
-        peer.queue.append(
-            PlaceGrant(number, told.endpoint, told.fetch_from, told.tokens)
+        gateway.outbox.append(
+            PlaceGrant(
+                number, message.endpoint, message.fetch_from, message.tokens
+            )
         )
 
     @staticmethod
-    def _flush(peer: Peer) -> None:
-        if peer.queue and not peer.socket.closed:
-            queue, peer.queue = peer.queue, []
-            data = msgspec.json.encode(queue).decode()
-            task = asyncio.ensure_future(peer.socket.send_str(data))
+    def _flush(gateway: GatewayConnection) -> None:
+        if gateway.outbox and not gateway.socket.closed:
+            outbox, gateway.outbox = gateway.outbox, []
+            data = msgspec.json.encode(outbox).decode()
+            task = asyncio.ensure_future(gateway.socket.send_str(data))
             task.add_done_callback(_log_send)
 
-    async def report_forever(self) -> None:
+    async def log_load_forever(self) -> None:
         """Logs what the brokers believe, while there is something to do."""
         while True:
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(LOG_INTERVAL_SECONDS)
             for service, broker in self.brokers.items():
                 counts = broker.counts()
                 if any(counts.values()):
@@ -270,7 +284,7 @@
                         **counts,
                     )
 
-    def waits(self) -> list[tuple[float, Labels]]:
+    def wait_seconds(self) -> list[tuple[float, Labels]]:
         """Returns what a prompt would wait at an endpoint, by service."""
         return [
             (broker.mean_wait_ms / 1000, {"service": service})
@@ -285,14 +299,14 @@
             for state, count in broker.counts().items()
         ]
 
-    async def beat_forever(self) -> None:
+    async def send_heartbeats_forever(self) -> None:
         """Tells gateways that this host is there, and counts their silence."""
         while True:
-            await asyncio.sleep(HEARTBEAT_SECONDS)
-            for peer in self.peers.values():
-                self._step_silence(peer)
-                peer.queue.append(Heartbeat())
-            self._schedule_pump()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+            for gateway in self.gateways.values():
+                self._check_liveness(gateway)
+                gateway.outbox.append(Heartbeat())
+            self._schedule_dispatch()
 
 
 def _log_send(task: asyncio.Future) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/connections.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/connections.py
@@ -14,13 +14,13 @@
 
 logger = get_logger(__name__)
 
-RESERVED = 260
+RESERVED_DESCRIPTORS = 260
 """Descriptors for files, listening sockets and connections within the
 fleet."""
-CALLERS_SHARE = 0.6
+CALLER_SHARE = 0.6
 """Of the rest, the part that callers may have; the others are for the
 endpoints' side, which needs one for each request that runs."""
-TIDY_SHARE = 0.5
+CROWDED_SHARE = 0.5
 """From this part of the callers' connections on, each is closed after its
 answer instead of being kept."""
 CHECK_SECONDS = 0.1
@@ -31,7 +31,9 @@
     """Knows which connections are in use, and closes some of the others."""
 
     def __init__(self, max_descriptors: int):
-        self.limit = max(32, int((max_descriptors - RESERVED) * CALLERS_SHARE))
+        self.limit = max(
+            32, int((max_descriptors - RESERVED_DESCRIPTORS) * CALLER_SHARE)
+        )
         self.listener: Listener | None = None
         self.busy: set[web.RequestHandler] = set()
 
@@ -40,7 +42,7 @@
         """Whether connections should not be kept after their answer."""
         if self.listener is None:
             return False
-        return self.listener.open_connections > self.limit * TIDY_SHARE
+        return self.listener.open_connections > self.limit * CROWDED_SHARE
 
     @property
     def is_full(self) -> bool:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -13,15 +13,15 @@
 
 logger = get_logger(__name__)
 
-WAIT_SECONDS = 0.8
+POLL_SECONDS = 0.8
 """A lease counts from when it was asked for, so this much of it is gone
 when the answer comes; the rest must outlast an election (2.4 s)."""
-ANSWER_SECONDS = 0.7
+REPLY_TIMEOUT_SECONDS = 0.7
 """Beyond the wait. A connection can fall silent without a reset; news must
 then arrive over a new one within two seconds of its acknowledgement."""
-PAUSE_SECONDS = 0.1
-PAUSE_LOST_SECONDS = 0.4
-GONE_AFTER_FAILURES = 40
+DISCOVERY_INTERVAL_SECONDS = 0.1
+RETRY_SECONDS = 0.4
+MAX_FAILURES = 40
 """Some 40 s of failures: a host that nobody announces any more is dropped."""
 
 
@@ -37,15 +37,15 @@
     async def run(self) -> None:
         """Starts polls as control hosts become known."""
         while True:
-            for address in self.wanted():
+            for address in self.target_addresses():
                 task = self.polls.get(address)
                 if task is None or task.done():
                     self.polls[address] = self.app.tasks.spawn(
-                        self._follow(address)
+                        self._poll(address)
                     )
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(DISCOVERY_INTERVAL_SECONDS)
 
-    def wanted(self) -> set[str]:
+    def target_addresses(self) -> set[str]:
         """Returns the internal addresses to ask."""
         return self.view.control_addresses | set(self.settings.seed_peers())
 
@@ -55,41 +55,41 @@
             return 0.0
         return self.settings.processor_cores
 
-    async def _follow(self, address: str) -> None:
+    async def _poll(self, address: str) -> None:
         epoch, cursor, failures = "", 0, 0
-        while failures < GONE_AFTER_FAILURES or address in self.wanted():
+        while failures < MAX_FAILURES or address in self.target_addresses():
             sent_at = boot_seconds()
-            asked = SyncRequest(
+            request = SyncRequest(
                 str(self.app.incarnation),
                 self.view.version,
                 epoch,
                 cursor,
-                WAIT_SECONDS if epoch else 0.0,
+                POLL_SECONDS if epoch else 0.0,
                 self.settings.name,
                 self.settings.reachable,
                 self._spare_capacity(),
             )
-            told = await self.app.client.call(
+            result = await self.app.client.call(
                 address,
                 paths.SYNC_PATH,
-                asked,
+                request,
                 SyncReply,
-                WAIT_SECONDS + ANSWER_SECONDS,
+                POLL_SECONDS + REPLY_TIMEOUT_SECONDS,
             )
-            if isinstance(told, Err):
+            if isinstance(result, Err):
                 failures += 1
                 epoch = ""
                 if failures == 1:
                     logger.info(
                         "control_host_lost",
                         address=address,
-                        why=told.err_value.message,
+                        why=result.err_value.message,
                     )
-                await asyncio.sleep(PAUSE_LOST_SECONDS)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             if failures:
                 logger.info("control_host_regained", address=address)
             failures = 0
-            reply = told.ok_value
+            reply = result.ok_value
             epoch, cursor = reply.epoch, reply.cursor
-            self.view.take(address, reply, sent_at)
+            self.view.apply(address, reply, sent_at)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
@@ -15,7 +15,7 @@
     """The caller closed its connection."""
 
 
-class Delivery:
+class ResponseDelivery:
     """The one answer that a caller gets, from one endpoint or several.
 
     Attributes:
@@ -38,12 +38,12 @@
         self.longest_gap = 0.0
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the caller has part of an answer."""
         return self.response is not None
 
-    async def take(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def relay(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.StreamResponse:
         """Passes on an answer to its end.
 
@@ -51,49 +51,49 @@
             SendFailedError: The answer broke off.
         """
         try:
-            if self.has_begun or is_stream(list(answer.headers.items())):
-                return await self._stream(answer, on_first)
-            return await self._whole(answer, on_first)
+            if self.has_started or is_stream(list(upstream.headers.items())):
+                return await self._relay_stream(upstream, on_first)
+            return await self._relay_complete(upstream, on_first)
         except (aiohttp.ClientError, ValueError) as error:
             raise SendFailedError(SendOutcome.BROKEN, repr(error)) from error
 
-    async def _whole(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def _relay_complete(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.Response:
         """Holds a plain answer until it is complete.
 
         So one that breaks off can still be run again, or be told as a
         failure, instead of reaching the caller in part.
         """
-        body = await answer.read()
+        body = await upstream.read()
         on_first()
         self.first_at = asyncio.get_running_loop().time()
-        response = web.Response(status=answer.status, body=body)
-        copy_headers(end_to_end(list(answer.headers.items())), response)
+        response = web.Response(status=upstream.status, body=body)
+        copy_headers(end_to_end(list(upstream.headers.items())), response)
         self.bytes_sent = len(body)
         return response
 
-    async def _stream(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def _relay_stream(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.StreamResponse:
-        if self.has_begun and answer.status >= 300:
+        if self.has_started and upstream.status >= 300:
             raise SendFailedError(
-                SendOutcome.BROKEN, f"resumed with status {answer.status}"
+                SendOutcome.BROKEN, f"resumed with status {upstream.status}"
             )
-        self.events.held.clear()
-        async for data in answer.content.iter_any():
-            whole = self.events.feed(data)
-            if whole:
+        self.events.buffer.clear()
+        async for data in upstream.content.iter_any():
+            events = self.events.feed(data)
+            if events:
                 on_first()
-                await self._pass_on(answer, whole)
-        return await self._end(answer)
+                await self._forward(upstream, events)
+        return await self._finish(upstream)
 
-    async def _pass_on(
-        self, answer: aiohttp.ClientResponse, whole: bytes
+    async def _forward(
+        self, upstream: aiohttp.ClientResponse, events: bytes
     ) -> None:
         if self.response is None:
-            await self._begin(answer)
-        await self._write(whole)
+            await self._start(upstream)
+        await self._write(events)
 
     async def _write(self, data: bytes) -> None:
         # The library's error for a caller that left is also one of its
@@ -103,18 +103,18 @@
         except ConnectionError as error:
             raise CallerGoneError(str(error)) from error
         self.bytes_sent += len(data)
-        self._note_gap()
+        self._record_gap()
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         now = asyncio.get_running_loop().time()
         if self.written_at:
             gap = now - self.written_at
             self.longest_gap = max(self.longest_gap, gap)
         self.written_at = now
 
-    async def _begin(self, answer: aiohttp.ClientResponse) -> None:
-        response = web.StreamResponse(status=answer.status)
-        copy_headers(end_to_end(list(answer.headers.items())), response)
+    async def _start(self, upstream: aiohttp.ClientResponse) -> None:
+        response = web.StreamResponse(status=upstream.status)
+        copy_headers(end_to_end(list(upstream.headers.items())), response)
         response.enable_chunked_encoding()
         if self.closes_connection():
             response.force_close()
@@ -125,15 +125,17 @@
         except ConnectionError as error:
             raise CallerGoneError(str(error)) from error
 
-    async def _end(self, answer: aiohttp.ClientResponse) -> web.StreamResponse:
-        rest = bytes(self.events.held)
+    async def _finish(
+        self, upstream: aiohttp.ClientResponse
+    ) -> web.StreamResponse:
+        rest = bytes(self.events.buffer)
         if self.response is None:
-            await self._begin(answer)
+            await self._start(upstream)
         if rest:
             await self._write(rest)
         return self.response
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends a begun answer so that it can't be taken for a whole one.
 
         The connection closes without the last chunk.
--- a/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
@@ -26,15 +26,18 @@
     """
 
     raw: bytes
-    folded: bytes
+    lowered: bytes
     size: int
 
     def header(self, name: bytes) -> str:
         """Returns the value of a header that is there once, or ""."""
-        place = self.folded.find(b"\r\n" + name + b":")
-        if place < 0 or self.folded.find(b"\r\n" + name + b":", place + 1) >= 0:
+        position = self.lowered.find(b"\r\n" + name + b":")
+        if (
+            position < 0
+            or self.lowered.find(b"\r\n" + name + b":", position + 1) >= 0
+        ):
             return ""
-        begin = place + len(name) + 3
+        begin = position + len(name) + 3
         end = self.raw.find(b"\r\n", begin)
         value = self.raw[begin:end] if end >= 0 else self.raw[begin:]
         return value.strip().decode("latin-1")
@@ -57,25 +60,25 @@
     if end < 0:
         return None
     raw = data[:end]
-    folded = raw.lower()
+    lowered = raw.lower()
     if raw.count(b"\n") != raw.count(b"\r\n"):
         return None
-    if any(name in folded for name in _UNUSUAL):
+    if any(name in lowered for name in _UNUSUAL):
         return None
-    length = _body_length(folded)
+    length = _body_length(lowered)
     if length is None:
         return None
-    return RequestHead(raw, folded, end + len(HEAD_END) + length)
+    return RequestHead(raw, lowered, end + len(HEAD_END) + length)
 
 
-def _body_length(folded: bytes) -> int | None:
-    count = folded.count(b"content-length")
+def _body_length(lowered: bytes) -> int | None:
+    count = lowered.count(b"content-length")
     if count == 0:
         return 0
-    place = folded.find(_LENGTH)
-    if count > 1 or place < 0:
+    position = lowered.find(_LENGTH)
+    if count > 1 or position < 0:
         return None
-    text = folded[place + len(_LENGTH) :].split(b"\r\n", 1)[0].strip(b" ")
+    text = lowered[position + len(_LENGTH) :].split(b"\r\n", 1)[0].strip(b" ")
     return int(text) if text.isdigit() else None
 
 
@@ -100,71 +103,71 @@
 
     def __init__(
         self,
-        behind: asyncio.Protocol,
-        waits_for_request: Callable[[], bool],
+        inner: asyncio.Protocol,
+        is_idle: Callable[[], bool],
         is_needed: Callable[[], bool],
-        judge: RefusalCheck,
+        check: RefusalCheck,
     ):
-        self.behind = behind
-        self.waits_for_request = waits_for_request
+        self.inner = inner
+        self.is_idle = is_idle
         self.is_needed = is_needed
-        self.judge = judge
+        self.check = check
         self.transport: asyncio.Transport | None = None
         # Bytes of the present request that are still to come; None if that
         # is not known, and the connection is left to the protocol behind.
-        self.missing: int | None = 0
+        self.missing_bytes: int | None = 0
         self.response: bytes | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A caller has connected."""
         self.transport = transport
-        self.behind.connection_made(transport)
+        self.inner.connection_made(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended."""
-        self.behind.connection_lost(exc)
+        self.inner.connection_lost(exc)
 
     def pause_writing(self) -> None:
         """The caller does not read."""
-        self.behind.pause_writing()
+        self.inner.pause_writing()
 
     def resume_writing(self) -> None:
         """The caller reads again."""
-        self.behind.resume_writing()
+        self.inner.resume_writing()
 
     def eof_received(self) -> bool | None:
         """The caller will send no more."""
-        return self.behind.eof_received()
+        return self.inner.eof_received()
 
     def data_received(self, data: bytes) -> None:
         """Bytes have come."""
         if self.response is not None:
-            self._go_on_refusing(data)
+            self._discard(data)
             return
-        if self.missing == 0:
-            self._begin(data)
-        elif self.missing is not None:
-            left = self.missing - len(data)
-            self.missing = left if left >= 0 else None
+        if self.missing_bytes == 0:
+            self._start_request(data)
+        elif self.missing_bytes is not None:
+            left = self.missing_bytes - len(data)
+            self.missing_bytes = left if left >= 0 else None
         if self.response is None:
-            self.behind.data_received(data)
-        elif self.missing == 0:
+            self.inner.data_received(data)
+        elif self.missing_bytes == 0:
             self._respond()
 
-    def _begin(self, data: bytes) -> None:
+    def _start_request(self, data: bytes) -> None:
         head = parse_head(data)
         if head is None or head.size < len(data):
-            self.missing = None
+            self.missing_bytes = None
             return
-        self.missing = head.size - len(data)
-        if self.is_needed() and self.waits_for_request():
-            self.response = self.judge(head)
+        self.missing_bytes = head.size - len(data)
+        if self.is_needed() and self.is_idle():
+            self.response = self.check(head)
 
-    def _go_on_refusing(self, data: bytes) -> None:
+    def _discard(self, data: bytes) -> None:
         """Drops the rest of a refused request; what follows is the next."""
-        rest = data[self.missing :]
-        self.missing = max(0, self.missing - len(data))
-        if self.missing == 0:
+        rest = data[self.missing_bytes :]
+        self.missing_bytes = max(0, self.missing_bytes - len(data))
+        if self.missing_bytes == 0:
             self._respond()
         if rest:
             self.data_received(rest)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/events.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/events.py
@@ -11,23 +11,23 @@
     """
 
     def __init__(self):
-        self.held = bytearray()
+        self.buffer = bytearray()
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
         """Returns the bytes of all events that are whole now."""
-        self.held += data
-        end = self.held.rfind(_END)
+        self.buffer += data
+        end = self.buffer.rfind(_END)
         if end < 0:
             return b""
-        whole = bytes(self.held[: end + len(_END)])
-        del self.held[: end + len(_END)]
-        self._note_id(whole)
-        return whole
+        complete = bytes(self.buffer[: end + len(_END)])
+        del self.buffer[: end + len(_END)]
+        self._record_id(complete)
+        return complete
 
-    def _note_id(self, whole: bytes) -> None:
-        place = whole.rfind(b"\nid:")
-        if place < 0 and not whole.startswith(b"id:"):
+    def _record_id(self, complete: bytes) -> None:
+        position = complete.rfind(b"\nid:")
+        if position < 0 and not complete.startswith(b"id:"):
             return
-        line = whole[place + 1 :].split(b"\n", 1)[0]
+        line = complete[position + 1 :].split(b"\n", 1)[0]
         self.last_id = line[len(b"id:") :].strip().decode("latin-1")
--- a/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
@@ -20,17 +20,17 @@
 MIN_LIMIT = 16.0
 """So many the smallest host serves; a single late moment, such as a new
 configuration brings, is no flood."""
-DECREASE = 0.7
-INCREASE = 1.0
+DECREASE_FACTOR = 0.7
+INCREASE_STEP = 1.0
 """Added at each wake-up in time while the limit is in use."""
 IN_USE_SHARE = 0.8
 """A limit of which less is in use says nothing of what could be served."""
-FLOOD_SHARE = 0.5
+DOMINANT_SHARE = 0.5
 """Of the prompts in service. Where all workspaces bring too much, other
 gateways have no room either."""
-FLOODED_SECONDS = 3.0
+UNREADY_SECONDS = 3.0
 """The balancer asks for readiness once a second and believes two misses."""
-RETURN_SECONDS = 1.5
+OVERLOAD_RETRY_SECONDS = 1.5
 """Floods last for seconds, and most callers' next connection reaches the same
 gateway; back sooner, they would be refused again and have no further try."""
 
@@ -42,27 +42,27 @@
         self.limit = float("inf")
         self.active: Counter[str] = Counter()
         self.total = 0
-        self.flooded_until = 0.0
+        self.overloaded_by_one_until = 0.0
         self.refused: Counter[str] = Counter()
 
     @property
-    def is_flooded(self) -> bool:
+    def is_overloaded_by_one(self) -> bool:
         """Whether one workspace has brought too much of late."""
-        return time.monotonic() < self.flooded_until
+        return time.monotonic() < self.overloaded_by_one_until
 
-    def _is_mostly_of_one(self) -> bool:
-        most = max(self.active.values(), default=0)
-        return self.total >= MIN_LIMIT and most > self.total * FLOOD_SHARE
+    def _has_dominant_workspace(self) -> bool:
+        largest = max(self.active.values(), default=0)
+        return self.total >= MIN_LIMIT and largest > self.total * DOMINANT_SHARE
 
     def on_wake_up(self, late_seconds: float) -> None:
         """Adapts the limit; called at each measured wake-up of the loop."""
-        if late_seconds > LATE_SECONDS and self._is_mostly_of_one():
-            self.flooded_until = time.monotonic() + FLOODED_SECONDS
+        if late_seconds > LATE_SECONDS and self._has_dominant_workspace():
+            self.overloaded_by_one_until = time.monotonic() + UNREADY_SECONDS
         if late_seconds > LATE_SECONDS:
             reached = min(self.limit, float(self.total))
-            self.limit = max(MIN_LIMIT, reached * DECREASE)
+            self.limit = max(MIN_LIMIT, reached * DECREASE_FACTOR)
         elif self.total >= self.limit * IN_USE_SHARE:
-            self.limit += INCREASE
+            self.limit += INCREASE_STEP
 
     @property
     def is_reached(self) -> bool:
@@ -81,14 +81,14 @@
         return self.active[workspace] < self.limit / others
 
     @contextmanager
-    def serving(self, workspace: str) -> Iterator[None]:
+    def admit(self, workspace: str) -> Iterator[None]:
         """Counts a prompt while it is in service.
 
         Raises:
             FleetError: There are too many; it has not run.
         """
         if not self.admits(workspace):
-            raise FleetError(self.refusal(workspace))
+            raise FleetError(self.refuse(workspace))
         self.active[workspace] += 1
         self.total += 1
         try:
@@ -99,16 +99,16 @@
             if not self.active[workspace]:
                 del self.active[workspace]
 
-    def refusal(self, workspace: str) -> Failure:
+    def refuse(self, workspace: str) -> Failure:
         """Counts a refused request, and returns what its caller is told."""
         self.refused[workspace] += 1
         return failure(
             Kind.OVERLOADED,
             "this gateway has too many requests; come back later",
-            retry_after=jitter(RETURN_SECONDS),
+            retry_after=jitter(OVERLOAD_RETRY_SECONDS),
         )
 
-    def take_refused(self) -> Counter[str]:
+    def pop_refused_counts(self) -> Counter[str]:
         """Returns how many were refused since the last call, by workspace."""
         refused, self.refused = self.refused, Counter()
         return refused
--- a/packages/fleet/src/marjoramyard/fleet/gateway/refusal_cache.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/refusal_cache.py
@@ -4,7 +4,7 @@
 
 from marjoramyard.fleet.gateway.broker_protocol import PlaceRefusal
 
-MAX_HELD_SECONDS = 0.1
+MAX_CACHED_SECONDS = 0.1
 """However long the line is: a workspace's line can also empty at once, when
 its callers leave."""
 
@@ -20,22 +20,22 @@
     """
 
     def __init__(self):
-        self.known: dict[tuple[str, str], tuple[float, PlaceRefusal]] = {}
+        self.refusals: dict[tuple[str, str], tuple[float, PlaceRefusal]] = {}
 
-    def note(self, workspace: str, route: str, told: PlaceRefusal) -> None:
+    def add(self, workspace: str, route: str, refusal: PlaceRefusal) -> None:
         """Remembers a refusal by the broker."""
-        held = min(told.over_ms / 1000, MAX_HELD_SECONDS)
-        if held > 0:
-            until = time.monotonic() + held
-            self.known[workspace, route] = (until, told)
+        held_seconds = min(refusal.over_ms / 1000, MAX_CACHED_SECONDS)
+        if held_seconds > 0:
+            until = time.monotonic() + held_seconds
+            self.refusals[workspace, route] = (until, refusal)
 
     def find(self, workspace: str, route: str) -> PlaceRefusal | None:
         """Returns the refusal that still holds, if there is one."""
-        found = self.known.get((workspace, route))
+        found = self.refusals.get((workspace, route))
         if found is None:
             return None
-        until, told = found
+        until, refusal = found
         if time.monotonic() < until:
-            return told
-        del self.known[workspace, route]
+            return refusal
+        del self.refusals[workspace, route]
         return None
--- a/packages/fleet/src/marjoramyard/fleet/gateway/serving.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
@@ -20,7 +20,10 @@
     read_caller_request,
 )
 from marjoramyard.fleet.gateway.broker_client import BrokerClients
-from marjoramyard.fleet.gateway.delivery import CallerGoneError, Delivery
+from marjoramyard.fleet.gateway.delivery import (
+    CallerGoneError,
+    ResponseDelivery,
+)
 from marjoramyard.fleet.gateway.early_refusal import (
     RequestHead,
     response_bytes,
@@ -41,15 +44,15 @@
 
 logger = get_logger(__name__)
 
-SLACK_SHARE = 0.8
+RETRY_SLACK_SHARE = 0.8
 """How much of the fleet's retry slack is given out; the rest covers
 gateways that restart and so get their part twice within a window."""
-REPORT_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 LEAVING_RETRY_SECONDS = 0.05
 """The caller's next connection reaches another gateway."""
 
 
-class Dispatcher:
+class RequestHandler:
     """Serves requests with what the gateway knows of the fleet."""
 
     def __init__(
@@ -64,54 +67,56 @@
         self.settings = app.settings
         self.closes_connections: Callable[[], bool] = app.stopping.is_set
         self.is_full: Callable[[], bool] = lambda: False
-        self.ends_at = float("inf")
-        self.refuses = False
+        self.stops_at = float("inf")
+        self.is_refusing = False
         self.names = view.dialect.headers
-        self.tools = RequestRunContext(
+        self.context = RequestRunContext(
             view, session, brokers, EngineLoads(), self.names, app.metrics
         )
         self.limit = ConcurrencyLimit()
         brokers.lag.on_wake_up.append(self.limit.on_wake_up)
         self.budgets: dict[str, RetryBudget] = {}
-        self.active = 0
-        self.begun = 0
+        self.active_count = 0
+        self.started_count = 0
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Serves one request of a caller."""
-        self.active += 1
-        self.begun += 1
-        delivery = Delivery(request, self.closes_connections)
-        story = RequestTrace()
+        self.active_count += 1
+        self.started_count += 1
+        delivery = ResponseDelivery(request, self.closes_connections)
+        trace = RequestTrace()
         began = time.monotonic()
         caller: CallerRequest | None = None
-        status, why = 0, "caller-left"
+        status, outcome = 0, "caller-left"
         try:
             self._refuse_if_unable()
-            claim = admit(request, self.view, self.names)
-            with self._within_limit(claim):
-                caller = read_caller_request(request, claim, self.names)
-                self._refuse_if_too_long(caller)
+            admitted = admit(request, self.view, self.names)
+            with self._within_limit(admitted):
+                caller = read_caller_request(request, admitted, self.names)
+                self._refuse_if_outlasting_shutdown(caller)
                 caller.body = await request.read()
-                response = await self._serve(caller, delivery, story)
-            status, why = response.status, "complete"
+                response = await self._serve(caller, delivery, trace)
+            status, outcome = response.status, "complete"
             return response
         except FleetError as error:
-            status, why = error.failure.kind.status, error.failure.code
-            if delivery.has_begun:
-                delivery.cut()
+            status, outcome = error.failure.kind.status, error.failure.code
+            if delivery.has_started:
+                delivery.abort()
                 return delivery.response
-            return self._refusal(error.failure)
+            return self._failure_response(error.failure)
         except CallerGoneError:
-            delivery.cut()
+            delivery.abort()
             return delivery.response
         finally:
-            self.active -= 1
-            self._note(request, caller, delivery, story, began, status, why)
+            self.active_count -= 1
+            self._log_request(
+                request, caller, delivery, trace, began, status, outcome
+            )
 
     def refuse_early(self, head: RequestHead) -> bytes | None:
         """Returns the response to a prompt beyond the limit."""
         table = self.view.table
-        if table is None or "%" in head.path or not self.view.lease_holds():
+        if table is None or "%" in head.path or not self.view.has_valid_lease():
             return None
         path = head.path.partition("?")[0]
         route = table.route(head.header(b"host"), path)
@@ -128,7 +133,7 @@
             return None
         kind = route.request_kind.value
         self.metrics.count("requests", outcome=Kind.OVERLOADED.code, kind=kind)
-        return response_bytes(self._refusal(self.limit.refusal(name)))
+        return response_bytes(self._failure_response(self.limit.refuse(name)))
 
     def _needs_engine(self, route: Route) -> bool:
         services = self.view.table.services
@@ -138,19 +143,19 @@
         )
 
     def _within_limit(
-        self, claim: AdmittedRequest
+        self, admitted: AdmittedRequest
     ) -> AbstractContextManager[None]:
         """Counts a prompt against the limit; others are served in no time."""
-        if not self._needs_engine(claim.route):
+        if not self._needs_engine(admitted.route):
             return nullcontext()
-        workspace = claim.workspace
-        return self.limit.serving(workspace.name if workspace else "")
+        workspace = admitted.workspace
+        return self.limit.admit(workspace.name if workspace else "")
 
-    async def report_overload_forever(self) -> None:
+    async def log_overload_forever(self) -> None:
         """Logs what was refused for want of processor here."""
         while True:
-            await asyncio.sleep(REPORT_SECONDS)
-            refused = self.limit.take_refused()
+            await asyncio.sleep(LOG_INTERVAL_SECONDS)
+            refused = self.limit.pop_refused_counts()
             if refused:
                 logger.info(
                     "gateway_overloaded",
@@ -162,7 +167,7 @@
 
     def _refuse_if_unable(self) -> None:
         """Refuses what can't be seen through here, before it is read."""
-        if self.refuses:
+        if self.is_refusing:
             raise_failure(
                 Kind.LEAVING,
                 "this gateway is shutting down; send it to another one",
@@ -175,33 +180,33 @@
                 retry_after=jitter(BUSY_RETRY_SECONDS),
             )
 
-    def _refuse_if_too_long(self, caller: CallerRequest) -> None:
+    def _refuse_if_outlasting_shutdown(self, caller: CallerRequest) -> None:
         """Refuses, while leaving, what might not end before the process.
 
         A long stream that is taken after SIGTERM would be cut at the end of
         the grace; refused at once, it begins elsewhere within a round trip.
         """
-        if caller.give_up_at > self.ends_at:
+        if caller.deadline_at > self.stops_at:
             raise_failure(
                 Kind.LEAVING,
                 "this gateway ends too soon for it; send it to another one",
                 retry_after=LEAVING_RETRY_SECONDS,
             )
 
-    def _refusal(self, reason: Failure) -> web.Response:
+    def _failure_response(self, reason: Failure) -> web.Response:
         response = failure_response(reason)
         exact = self.view.dialect.fractional_retry_after
         if exact and reason.retry_after is not None:
             response.headers["Retry-After"] = f"{reason.retry_after:.2f}"
         return response
 
-    def _note(
-        self, request, caller, delivery, story, began, status, why
+    def _log_request(
+        self, request, caller, delivery, trace, began, status, outcome
     ) -> None:
         now = time.monotonic()
         kind = caller.route.request_kind.value if caller else "none"
-        self.metrics.count("requests", outcome=why, kind=kind)
-        if why == Kind.OVERLOADED.code:
+        self.metrics.count("requests", outcome=outcome, kind=kind)
+        if outcome == Kind.OVERLOADED.code:
             # Their lines would take more processor than refusing them.
             return
         self.metrics.observe("request_seconds", now - began, kind=kind)
@@ -213,12 +218,12 @@
                 caller.workspace.name if caller and caller.workspace else ""
             ),
             config=self.view.version,
-            sends=story.sends,
-            placed_by=story.placed_by.value if story.placed_by else None,
-            wait_ms=round(story.wait_ms),
-            predicted_ms=story.predicted_ms,
+            sends=trace.sends,
+            placed_by=trace.placed_by.value if trace.placed_by else None,
+            wait_ms=round(trace.wait_ms),
+            predicted_ms=trace.predicted_ms,
             status=status,
-            outcome=why,
+            outcome=outcome,
             first_ms=(
                 round((delivery.first_at - began) * 1000)
                 if delivery.first_at
@@ -227,26 +232,33 @@
             longest_gap_ms=round(delivery.longest_gap * 1000),
             total_ms=round((now - began) * 1000),
             prompt_tokens=sum(p.tokens for p in caller.parts) if caller else 0,
-            read_tokens=round(story.read_tokens),
-            missed=_missed(caller, delivery, began),
+            read_tokens=round(trace.read_tokens),
+            missed=_missed_objective(caller, delivery, began),
         )
 
     async def _serve(
-        self, caller: CallerRequest, delivery: Delivery, story: RequestTrace
+        self,
+        caller: CallerRequest,
+        delivery: ResponseDelivery,
+        trace: RequestTrace,
     ) -> web.StreamResponse:
         destination = pick(caller.route.split, random.random())
         budget = self._budget(destination.service)
         budget.on_request()
         service = self.view.table.services[destination.service]
-        run = RequestRun(self.tools, caller, delivery, story, service, budget)
+        run = RequestRun(self.context, caller, delivery, trace, service, budget)
         try:
-            async with asyncio.timeout_at(caller.give_up_at):
-                return await run.to_end()
+            async with asyncio.timeout_at(caller.deadline_at):
+                return await run.run_to_completion()
         except TimeoutError:
-            raise FleetError(run.at_deadline()) from None
+            raise FleetError(run.deadline_failure()) from None
 
     def _budget(self, service: str) -> RetryBudget:
-        share = self.settings.retry_slack * SLACK_SHARE / self.view.gateways
+        share = (
+            self.settings.retry_slack
+            * RETRY_SLACK_SHARE
+            / self.view.gateway_count
+        )
         budget = self.budgets.get(service)
         if budget is None:
             budget = RetryBudget(self.settings.retry_ratio, share)
@@ -255,8 +267,8 @@
         return budget
 
 
-def _missed(
-    caller: CallerRequest | None, delivery: Delivery, began: float
+def _missed_objective(
+    caller: CallerRequest | None, delivery: ResponseDelivery, began: float
 ) -> str | None:
     """Names the objective that an answer missed, for its log line."""
     if caller is None or not delivery.first_at:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -29,12 +29,12 @@
     PlaceRefusal,
     RunningRequest,
 )
-from marjoramyard.fleet.gateway.delivery import Delivery
+from marjoramyard.fleet.gateway.delivery import ResponseDelivery
 from marjoramyard.fleet.gateway.dialect import HeaderNames
 from marjoramyard.fleet.gateway.engine_load import (
     EngineLoads,
-    Flight,
-    prefill_rate,
+    LocalRequest,
+    estimate_prefill_rate,
 )
 from marjoramyard.fleet.gateway.request_trace import PlacedBy, RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
@@ -50,7 +50,7 @@
 
 BUSY_RETRY_SECONDS = 0.4
 """Where all endpoints are full: some requests' worth of reading."""
-MAX_CONNECT_TRIES = 4
+MAX_CONNECT_ATTEMPTS = 4
 """Each takes half a second at the most; a caller's patience is seconds."""
 MIN_RETRY_SECONDS = 0.15
 """A caller that is refused comes back no sooner than this."""
@@ -81,100 +81,113 @@
 
     def __init__(
         self,
-        tools: RequestRunContext,
+        context: RequestRunContext,
         caller: CallerRequest,
-        delivery: Delivery,
-        story: RequestTrace,
+        delivery: ResponseDelivery,
+        trace: RequestTrace,
         service: Service,
         budget: RetryBudget,
     ):
-        self.tools = tools
-        self.view = tools.view
+        self.context = context
+        self.view = context.view
         self.caller = caller
         self.delivery = delivery
-        self.story = story
+        self.trace = trace
         self.service = service
         self.budget = budget
         self.tried: set[str] = set()
         self.sends = 0
-        self.connects = 0
+        self.connect_failures = 0
         self.may_have_run = False
-        self.had_run = False
+        self.may_have_run_before = False
 
-    async def to_end(self) -> web.StreamResponse:
+    async def run_to_completion(self) -> web.StreamResponse:
         """Sends until there is an answer or nothing more may be tried.
 
         Raises:
             FleetError: There is none; says whether the request has run.
         """
         while True:
-            words = self._candidates()
-            plan = await self._plan(words)
+            candidates = self._candidates()
+            plan = await self._plan(candidates)
             try:
                 return await self._send(plan)
             except SendFailedError as error:
-                self._after(plan, error)
+                self._on_send_failed(plan, error)
 
     def _candidates(self) -> list[Registration]:
-        words = self.view.usable(self.service.name, self.tried)
-        if not words:
-            words = self.view.usable(self.service.name, set())
-            if not words or self.sends or self.connects >= MAX_CONNECT_TRIES:
-                raise FleetError(self._nowhere())
-        return words
-
-    async def _plan(self, words: list[Registration]) -> SendPlan:
+        candidates = self.view.usable(self.service.name, self.tried)
+        if not candidates:
+            candidates = self.view.usable(self.service.name, set())
+            if (
+                not candidates
+                or self.sends
+                or self.connect_failures >= MAX_CONNECT_ATTEMPTS
+            ):
+                raise FleetError(self._no_endpoint_failure())
+        return candidates
+
+    async def _plan(self, candidates: list[Registration]) -> SendPlan:
         if not self.caller.parts or self.service.engine is None:
-            return SendPlan(self._least_loaded(words), "", self._last_event())
-        link = self.tools.brokers.link(self.service.name)
+            return SendPlan(
+                self._least_loaded(candidates), "", self._last_event_id()
+            )
+        client = self.context.brokers.client_for(self.service.name)
         began = time.monotonic()
-        number, told = await link.place(self.caller, self.service, self.tried)
-        self.story.wait_ms += (time.monotonic() - began) * 1000
-        if isinstance(told, PlaceRefusal):
-            self.story.predicted_ms = round(told.predicted_ms)
-            raise FleetError(self._too_late(told))
-        if told is None:
-            plan = self._plan_alone(words, number)
+        broker_number, reply = await client.place(
+            self.caller, self.service, self.tried
+        )
+        self.trace.wait_ms += (time.monotonic() - began) * 1000
+        if isinstance(reply, PlaceRefusal):
+            self.trace.predicted_ms = round(reply.predicted_ms)
+            raise FleetError(self._late_failure(reply))
+        if reply is None:
+            plan = self._plan_locally(candidates, broker_number)
         else:
-            plan = self._plan_granted(told, number)
-        self._note_placement(plan)
+            plan = self._plan_granted(reply, broker_number)
+        self._record_placement(plan)
         return plan
 
-    def _note_placement(self, plan: SendPlan) -> None:
+    def _record_placement(self, plan: SendPlan) -> None:
         by = PlacedBy.BROKER if plan.is_granted else PlacedBy.GATEWAY
-        self.story.placed_by = by
-        self.tools.metrics.count("placements", by=by.value)
+        self.trace.placed_by = by
+        self.context.metrics.count("placements", by=by.value)
 
-    def _plan_granted(self, told: PlaceGrant, number: int) -> SendPlan:
+    def _plan_granted(self, reply: PlaceGrant, broker_number: int) -> SendPlan:
         known = self.view.registrations.known
-        word = known.get(told.endpoint)
-        if word is None or word.state is not EndpointState.READY:
+        registration = known.get(reply.endpoint)
+        if (
+            registration is None
+            or registration.state is not EndpointState.READY
+        ):
             # The broker has not heard yet that it leaves. The request goes
             # elsewhere: a leaving endpoint gets no new work.
-            self.tools.brokers.link(self.service.name).unused(number)
-            self.tried.add(told.endpoint)
-            return self._plan_alone(self._candidates(), number)
-        source = known.get(told.fetch_from)
+            self.context.brokers.client_for(self.service.name).return_grant(
+                broker_number
+            )
+            self.tried.add(reply.endpoint)
+            return self._plan_locally(self._candidates(), broker_number)
+        source = known.get(reply.fetch_from)
         return SendPlan(
-            word,
+            registration,
             source.address if source is not None else "",
-            self._last_event(),
-            told.tokens,
-            number,
+            self._last_event_id(),
+            reply.tokens,
+            broker_number,
             True,
         )
 
-    def _too_late(self, told: PlaceRefusal) -> Failure:
+    def _late_failure(self, reply: PlaceRefusal) -> Failure:
         if self.may_have_run:
-            return self._nowhere()
-        seconds = max(told.retry_after_ms / 1000, MIN_RETRY_SECONDS)
+            return self._no_endpoint_failure()
+        seconds = max(reply.retry_after_ms / 1000, MIN_RETRY_SECONDS)
         return failure(
             Kind.BUSY,
             "its answer would come too late; come back when the rush is over",
             retry_after=jitter(seconds),
         )
 
-    def _check_key(self) -> None:
+    def _recheck_key(self) -> None:
         """Checks the lease once more, right before the send.
 
         Between admission and here the host may have been frozen, and the
@@ -182,9 +195,9 @@
         """
         if self.caller.workspace is None:
             return
-        held = self.view.table.holder(self.caller.keyed_by)
-        if held is None or not self.view.lease_holds():
-            kind = Kind.UNKNOWN_KEY if held is None else Kind.NO_LEASE
+        workspace = self.view.table.holder(self.caller.api_key)
+        if workspace is None or not self.view.has_valid_lease():
+            kind = Kind.UNKNOWN_KEY if workspace is None else Kind.NO_LEASE
             if self.may_have_run:
                 kind = Kind.ENDPOINT_LOST
             raise FleetError(
@@ -197,108 +210,123 @@
                 )
             )
 
-    def _least_loaded(self, words: list[Registration]) -> Registration:
-        loads = self.tools.loads
+    def _least_loaded(self, candidates: list[Registration]) -> Registration:
+        loads = self.context.loads
         return min(
-            words,
-            key=lambda word: (
-                loads.view(word.endpoint).running,
+            candidates,
+            key=lambda registration: (
+                loads.load_of(registration.endpoint).running,
                 random.random(),
             ),
         )
 
-    def _plan_alone(self, words: list[Registration], number: int) -> SendPlan:
+    def _plan_locally(
+        self, candidates: list[Registration], broker_number: int
+    ) -> SendPlan:
         """Places a prompt by what this gateway has in flight itself."""
-        loads = self.tools.loads
-        loads.rate = prefill_rate(self.view.table.config, len(words))
+        loads = self.context.loads
+        loads.rate = estimate_prefill_rate(
+            self.view.table.config, len(candidates)
+        )
         profile = self.service.engine
         fetch_ms = 0.0
         if profile.link_mbps > 0:
             fetch_ms = profile.token_bytes * 8 / profile.link_mbps / 1000
-        placed = place_prompt(
+        placement = place_prompt(
             self.caller.parts,
-            [loads.view(word.endpoint) for word in words],
+            [
+                loads.load_of(registration.endpoint)
+                for registration in candidates
+            ],
             fetch_ms,
         )
-        by_id = {word.endpoint: word for word in words}
-        source = by_id.get(placed.fetch_from)
+        by_id = {
+            registration.endpoint: registration for registration in candidates
+        }
+        source = by_id.get(placement.fetch_from)
         return SendPlan(
-            by_id[placed.endpoint],
+            by_id[placement.endpoint],
             source.address if source is not None else "",
-            self._last_event(),
-            placed.tokens,
-            number,
+            self._last_event_id(),
+            placement.tokens,
+            broker_number,
         )
 
     def _workspace_name(self) -> str:
         workspace = self.caller.workspace
         return workspace.name if workspace is not None else ""
 
-    def _last_event(self) -> str:
+    def _last_event_id(self) -> str:
         return self.delivery.events.last_id or self.caller.last_event
 
     async def _send(self, plan: SendPlan) -> web.StreamResponse:
-        tools = self.tools
+        context = self.context
         endpoint = plan.endpoint.endpoint
-        with self._in_flight(plan) as flight:
-            self._check_key()
+        with self._track(plan) as tracked:
+            self._recheck_key()
             self.tried.add(endpoint)
-            self.story.sends.append(endpoint)
-            self.story.read_tokens += plan.tokens
-            self.had_run = self.may_have_run
+            self.trace.sends.append(endpoint)
+            self.trace.prefill_tokens += plan.prefill_tokens
+            self.may_have_run_before = self.may_have_run
             self.may_have_run = True
             async with open_response(
-                tools.session, self.caller, plan, tools.names
-            ) as answer:
-                if answer.status >= 500 and self._may_try_again():
+                context.session, self.caller, plan, context.names
+            ) as upstream:
+                if upstream.status >= 500 and self._may_retry():
                     raise SendFailedError(
-                        SendOutcome.BROKEN, f"status {answer.status}"
+                        SendOutcome.BROKEN, f"status {upstream.status}"
                     )
-                response = await self.delivery.take(answer, flight.read)
+                response = await self.delivery.relay(
+                    upstream, tracked.finish_prefill
+                )
         self.view.health_of(endpoint).succeeded(time.monotonic())
         return response
 
     @contextmanager
-    def _in_flight(self, plan: SendPlan) -> Iterator[Flight]:
+    def _track(self, plan: SendPlan) -> Iterator[LocalRequest]:
         """Counts a send here, and with the broker, while it lasts."""
         endpoint = plan.endpoint.endpoint
-        link = None
+        client = None
         failed = False
-        if plan.number:
-            link = self.tools.brokers.link(self.service.name)
+        if plan.broker_number:
+            client = self.context.brokers.client_for(self.service.name)
             running = RunningRequest(
-                plan.number,
+                plan.broker_number,
                 self.service.name,
                 endpoint,
-                plan.tokens,
-                self.caller.own_memory,
+                plan.prefill_tokens,
+                self.caller.unshared_memory_tokens,
                 self._workspace_name(),
                 self.caller.output_tokens,
             )
-            link.started(running, plan.is_granted)
+            client.on_started(running, plan.is_granted)
         try:
-            with self.tools.loads.in_flight(endpoint, plan.tokens) as flight:
-                if link is not None:
-                    flight.on_read = lambda: link.first_token(plan.number)
-                yield flight
+            with self.context.loads.track(
+                endpoint, plan.prefill_tokens
+            ) as tracked:
+                if client is not None:
+                    tracked.on_prefilled = lambda: client.on_first_token(
+                        plan.broker_number
+                    )
+                yield tracked
         except SendFailedError as error:
-            failed = self._is_endpoints_fault(error)
+            failed = self._is_endpoint_fault(error)
             raise
         finally:
-            if link is not None:
-                link.ended(plan.number, failed)
+            if client is not None:
+                client.on_finished(plan.broker_number, failed)
 
-    def _is_endpoints_fault(self, error: SendFailedError) -> bool:
+    def _is_endpoint_fault(self, error: SendFailedError) -> bool:
         """Whether a failed send says something of the endpoint's health.
 
         Where the event loop is late, a connection that was there in time is
         found to have timed out.
         """
-        if error.timed_out and self.tools.brokers.lag.is_late:
+        if error.timed_out and self.context.brokers.lag.is_late:
             return False
         return error.outcome in (SendOutcome.NOT_SENT, SendOutcome.BROKEN)
 
-    def _may_try_again(self) -> bool:
+    def _may_retry(self) -> bool:
         """Whether a further send would be allowed, without taking it."""
         return (
             self.caller.may_repeat
@@ -306,39 +334,39 @@
             and self.budget.tokens >= 1.0
         )
 
-    def _after(self, plan: SendPlan, error: SendFailedError) -> None:
+    def _on_send_failed(self, plan: SendPlan, error: SendFailedError) -> None:
         """Decides what a failed send means.
 
         Raises:
             FleetError: It was the last one.
         """
-        self.story.sends[-1] += f" {error.outcome.value}: {error.why[:80]}"
+        self.trace.sends[-1] += f" {error.outcome.value}: {error.reason[:80]}"
         now = time.monotonic()
         health = self.view.health_of(plan.endpoint.endpoint)
         if error.outcome in (SendOutcome.NOT_SENT, SendOutcome.REFUSED):
-            self.may_have_run = self.had_run
+            self.may_have_run = self.may_have_run_before
         if error.outcome is SendOutcome.NOT_SENT:
-            if self._is_endpoints_fault(error):
+            if self._is_endpoint_fault(error):
                 health.failed(now)
-            self.connects += 1
-            if self.connects < MAX_CONNECT_TRIES:
+            self.connect_failures += 1
+            if self.connect_failures < MAX_CONNECT_ATTEMPTS:
                 return
-            raise FleetError(self._nowhere())
+            raise FleetError(self._no_endpoint_failure())
         self.sends += 1
         if error.outcome is SendOutcome.BROKEN:
-            if not error.why.startswith("status"):
+            if not error.reason.startswith("status"):
                 health.failed(now)
             if not self.caller.may_repeat:
-                raise FleetError(self._lost(error))
+                raise FleetError(self._attempts_failure(error))
         if self.sends >= self.caller.route.max_attempts:
-            raise FleetError(self._lost(error))
+            raise FleetError(self._attempts_failure(error))
         if not self.budget.spend():
-            raise FleetError(self._lost(error))
+            raise FleetError(self._attempts_failure(error))
 
     def _outcome(self) -> Outcome:
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
-    def _nowhere(self) -> Failure:
+    def _no_endpoint_failure(self) -> Failure:
         if self.may_have_run:
             return failure(
                 Kind.ENDPOINT_LOST,
@@ -352,22 +380,22 @@
             retry_after=jitter(BUSY_RETRY_SECONDS),
         )
 
-    def _lost(self, error: SendFailedError) -> Failure:
+    def _attempts_failure(self, error: SendFailedError) -> Failure:
         if self.may_have_run:
             return failure(
                 Kind.ENDPOINT_LOST,
-                f"the endpoint gave no whole answer ({error.why}); it may "
+                f"the endpoint gave no whole answer ({error.reason}); it may "
                 "have run",
                 Outcome.UNKNOWN,
             )
-        wait = error.retry_after or BUSY_RETRY_SECONDS
+        wait_seconds = error.retry_after or BUSY_RETRY_SECONDS
         return failure(
             Kind.BUSY,
             "all endpoints that could be asked are full; come back later",
-            retry_after=jitter(wait),
+            retry_after=jitter(wait_seconds),
         )
 
-    def at_deadline(self) -> Failure:
+    def deadline_failure(self) -> Failure:
         """Returns the final answer where the time is over."""
         if self.may_have_run:
             return failure(
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_trace.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_trace.py
@@ -19,5 +19,5 @@
     sends: list[str] = []
     placed_by: PlacedBy | None = None
     wait_ms: float = 0.0
-    read_tokens: float = 0.0
+    prefill_tokens: float = 0.0
     predicted_ms: int | None = None
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -17,7 +17,7 @@
 from marjoramyard.fleet.gateway.control_sync import ControlSync
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.early_refusal import EarlyRefusal
-from marjoramyard.fleet.gateway.serving import Dispatcher
+from marjoramyard.fleet.gateway.request_handler import RequestHandler
 from marjoramyard.fleet.gateway.upstream import open_endpoint_session
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.logs import get_logger
@@ -27,7 +27,7 @@
 LEASE_MARGIN_SECONDS = 0.5
 """Taken off the time after which a lost key must be refused: a request that
 was admitted at the end of a lease still has to reach its endpoint."""
-BALANCER_SECONDS = 2.6
+BALANCER_NOTICE_SECONDS = 2.6
 """The balancer asks for readiness once a second and believes two misses."""
 EXIT_MARGIN_SECONDS = 0.8
 """Kept of the grace for closing what is left, before the kill comes."""
@@ -43,25 +43,25 @@
 class GatewayRole:
     """Answers callers as long as it may."""
 
-    def __init__(self, app: Application, view: FleetView, dispatcher):
+    def __init__(self, app: Application, view: FleetView, handler):
         self.app = app
         self.settings = app.settings
         self.view = view
-        self.dispatcher = dispatcher
+        self.handler = handler
         self.connections = CallerConnections(self.settings.max_descriptors)
-        dispatcher.closes_connections = self.closes_connections
-        dispatcher.is_full = lambda: self.connections.is_full
+        handler.closes_connections = self.closes_connections
+        handler.is_full = lambda: self.connections.is_full
 
     def is_ready(self) -> bool:
         """A gateway is ready once it knows a configuration in force."""
-        return self.view.table is not None and self.view.lease_holds()
+        return self.view.table is not None and self.view.has_valid_lease()
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Serves a caller; while draining, ends the connection after it."""
         busy = self.connections.busy
         busy.add(request.protocol)
         try:
-            response = await self.dispatcher.handle(request)
+            response = await self.handler.handle(request)
         finally:
             busy.discard(request.protocol)
         if self.closes_connections() and not response.prepared:
@@ -69,18 +69,18 @@
         return response
 
     def wrap_connection(
-        self, behind: asyncio.Protocol, waits_for_request: Callable[[], bool]
+        self, inner: asyncio.Protocol, is_idle: Callable[[], bool]
     ) -> asyncio.Protocol:
         """Puts early refusals before a caller's connection."""
         return EarlyRefusal(
-            behind,
-            waits_for_request,
+            inner,
+            is_idle,
             self._refuses_early,
-            self.dispatcher.refuse_early,
+            self.handler.refuse_early,
         )
 
     def _refuses_early(self) -> bool:
-        reached = self.dispatcher.limit.is_reached
+        reached = self.handler.limit.is_reached
         return reached and not self.closes_connections()
 
     def closes_connections(self) -> bool:
@@ -92,7 +92,7 @@
         ready = (
             self.is_ready()
             and not self.app.stopping.is_set()
-            and not self.dispatcher.limit.is_flooded
+            and not self.handler.limit.is_overloaded_by_one
         )
         return web.Response(status=200 if ready else 503)
 
@@ -107,21 +107,24 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         end = began + self.settings.grace_seconds - EXIT_MARGIN_SECONDS
-        self.dispatcher.ends_at = end
-        await asyncio.sleep(BALANCER_SECONDS)
-        self.dispatcher.refuses = True
+        self.handler.stops_at = end
+        await asyncio.sleep(BALANCER_NOTICE_SECONDS)
+        self.handler.is_refusing = True
         quiet_polls = 0
         while quiet_polls < QUIET_POLLS and loop.time() < end:
-            begun = self.dispatcher.begun
+            started_count = self.handler.started_count
             self.connections.close_idle()
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
-            if self.dispatcher.active or self.dispatcher.begun != begun:
+            if (
+                self.handler.active_count
+                or self.handler.started_count != started_count
+            ):
                 quiet_polls = 0
             else:
                 quiet_polls += 1
         logger.info(
             "drained",
-            cut=self.dispatcher.active,
+            cut=self.handler.active_count,
             seconds=round(loop.time() - began, 2),
         )
 
@@ -138,17 +141,19 @@
         open_broker_session() as to_brokers,
     ):
         brokers = BrokerClients(app.tasks, view, to_brokers, app.metrics)
-        dispatcher = Dispatcher(view, session, brokers, app)
-        desk = BrokerServer(view)
-        app.metrics.gauge("broker_wait_seconds", desk.waits)
-        app.metrics.gauge("broker_requests", desk.requests)
-        app.tasks.spawn(desk.beat_forever())
-        app.tasks.spawn(desk.report_forever())
-        app.tasks.spawn(dispatcher.report_overload_forever())
-        role = GatewayRole(app, view, dispatcher)
+        handler = RequestHandler(view, session, brokers, app)
+        broker_server = BrokerServer(view)
+        app.metrics.gauge("broker_wait_seconds", broker_server.wait_seconds)
+        app.metrics.gauge("broker_requests", broker_server.requests)
+        app.tasks.spawn(broker_server.send_heartbeats_forever())
+        app.tasks.spawn(broker_server.log_load_forever())
+        app.tasks.spawn(handler.log_overload_forever())
+        role = GatewayRole(app, view, handler)
         app.tasks.spawn(ControlSync(app, view).run())
         async with (
-            app.serve(settings.internal, [web.get(BROKER_PATH, desk.serve)]),
+            app.serve(
+                settings.internal, [web.get(BROKER_PATH, broker_server.serve)]
+            ),
             app.serve(
                 settings.ready_listen,
                 [web.get(dialect.ready_path, role.readyz)],
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -21,7 +21,7 @@
 
 logger = get_logger(__name__)
 
-SILENCE_VALID_SECONDS = 3.0
+REPORT_VALID_SECONDS = 3.0
 """How long a control host's list of silent endpoints counts."""
 RECENT_SUCCESS_SECONDS = 1.5
 """An endpoint that answered so lately is alive, whatever its heartbeats
@@ -37,8 +37,8 @@
         self.table: RouteTable | None = None
         self.registrations = Registrations()
         self.health: dict[str, EndpointHealth] = {}
-        self.silent_at: dict[str, tuple[float, frozenset[str]]] = {}
-        self.gateways = 1
+        self.unresponsive_reports: dict[str, tuple[float, frozenset[str]]] = {}
+        self.gateway_count = 1
         self.control_addresses: set[str] = set()
         self.broker_addresses: list[str] = []
         self.on_config: list[Callable[[], None]] = []
@@ -61,14 +61,14 @@
         )
         if service not in names:
             return ""
-        place = names.index(service) % len(self.broker_addresses)
-        return self.broker_addresses[place]
+        position = names.index(service) % len(self.broker_addresses)
+        return self.broker_addresses[position]
 
-    def lease_holds(self) -> bool:
+    def has_valid_lease(self) -> bool:
         """Whether keys may still be taken for good."""
         return self.lease.holds(boot_seconds())
 
-    def take(self, source: str, reply: SyncReply, sent_at: float) -> None:
+    def apply(self, source: str, reply: SyncReply, sent_at: float) -> None:
         """Takes in a control host's answer.
 
         Args:
@@ -83,11 +83,11 @@
         if reply.confirmed and self.version >= reply.version:
             self.lease.renewed(sent_at, self.lease.seconds)
         now = time.monotonic()
-        for word in reply.words:
-            self._merge(word, now)
-        self.silent_at[source] = (now, frozenset(reply.silent))
+        for registration in reply.words:
+            self._merge(registration, now)
+        self.unresponsive_reports[source] = (now, frozenset(reply.silent))
         self.control_addresses = set(reply.addresses)
-        self.gateways = max(1, reply.gateways)
+        self.gateway_count = max(1, reply.gateways)
 
     def _install(self, document: ConfigDocument) -> None:
         if document.version <= self.version:
@@ -106,34 +106,34 @@
         for listener in self.on_config:
             listener()
 
-    def _merge(self, word: Registration, now: float) -> None:
-        held = self.registrations.known.get(word.endpoint)
-        if not self.registrations.merge(word, now):
+    def _merge(self, registration: Registration, now: float) -> None:
+        held = self.registrations.known.get(registration.endpoint)
+        if not self.registrations.merge(registration, now):
             return
-        if held is None or held.born != word.born:
-            self.health[word.endpoint] = EndpointHealth()
+        if held is None or held.born != registration.born:
+            self.health[registration.endpoint] = EndpointHealth()
         logger.info(
             "endpoint",
-            endpoint=word.endpoint,
-            service=word.service,
-            state=word.state.value,
-            address=word.address,
+            endpoint=registration.endpoint,
+            service=registration.service,
+            state=registration.state.value,
+            address=registration.address,
         )
 
     def health_of(self, endpoint: str) -> EndpointHealth:
         """Returns the record of an endpoint's outcomes."""
         return self.health.setdefault(endpoint, EndpointHealth())
 
-    def is_silent(self, endpoint: str, now: float) -> bool:
+    def is_unresponsive(self, endpoint: str, now: float) -> bool:
         """Whether all control hosts in touch miss its heartbeats."""
         recent = [
             silent
-            for at, silent in self.silent_at.values()
-            if now - at < SILENCE_VALID_SECONDS
+            for at, silent in self.unresponsive_reports.values()
+            if now - at < REPORT_VALID_SECONDS
         ]
         return bool(recent) and all(endpoint in silent for silent in recent)
 
-    def usable(self, service: str, without: set[str]) -> list[Registration]:
+    def usable(self, service: str, excluded: set[str]) -> list[Registration]:
         """Returns the endpoints that may get a request now.
 
         Paused and silent ones are used only where there are no others: a
@@ -141,26 +141,30 @@
         """
         now = time.monotonic()
         ready = [
-            word
-            for word in self.registrations.usable(service)
-            if word.endpoint not in without
+            registration
+            for registration in self.registrations.usable(service)
+            if registration.endpoint not in excluded
         ]
-        sound = [word for word in ready if self._is_sound(word, now)]
-        return sound or ready
+        healthy = [
+            registration
+            for registration in ready
+            if self._is_healthy(registration, now)
+        ]
+        return healthy or ready
 
-    def _is_sound(self, word: Registration, now: float) -> bool:
-        health = self.health_of(word.endpoint)
+    def _is_healthy(self, registration: Registration, now: float) -> bool:
+        health = self.health_of(registration.endpoint)
         if health.is_paused(now):
             return False
         if now - health.succeeded_at < RECENT_SUCCESS_SECONDS:
             return True
-        return not self.is_silent(word.endpoint, now)
+        return not self.is_unresponsive(registration.endpoint, now)
 
-    def still_ready(self, word: Registration) -> bool:
+    def is_still_ready(self, registration: Registration) -> bool:
         """Whether a chosen endpoint may still get new work."""
-        held = self.registrations.known.get(word.endpoint)
+        held = self.registrations.known.get(registration.endpoint)
         return (
             held is not None
             and held.state is EndpointState.READY
-            and held.born == word.born
+            and held.born == registration.born
         )
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -14,9 +14,9 @@
 
 T = TypeVar("T")
 
-TRY_SECONDS = 1.5
+ATTEMPT_SECONDS = 1.5
 """A frozen host takes connections and never answers; go on after this."""
-_PAUSE_SECONDS = 0.15
+_RETRY_SECONDS = 0.15
 _TRANSIENT = frozenset(
     {Kind.NOT_LEADER, Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.UNINITIALISED}
 )
@@ -45,33 +45,37 @@
         message: Any,
         reply: type[T],
         timeout: float,
-        try_seconds: float = TRY_SECONDS,
+        attempt_seconds: float = ATTEMPT_SECONDS,
     ) -> Result[T, Failure]:
         """Asks the leader until it answers or the time is up."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout
+        deadline = loop.time() + timeout
         while True:
-            left = until - loop.time()
+            seconds_left = deadline - loop.time()
             address = self.leader
-            answer = await self.client.call(
-                address, path, message, reply, min(try_seconds, max(left, 0.1))
+            result = await self.client.call(
+                address,
+                path,
+                message,
+                reply,
+                min(attempt_seconds, max(seconds_left, 0.1)),
             )
-            if isinstance(answer, Ok):
-                return answer
-            reason = answer.err_value
+            if isinstance(result, Ok):
+                return result
+            reason = result.err_value
             if reason.kind not in _TRANSIENT:
-                return answer
+                return result
             if reason.leader and reason.leader != address:
                 self.leader = reason.leader
             else:
                 self.pass_over(address)
-            pause = _PAUSE_SECONDS * random.uniform(0.5, 1.5)
-            if loop.time() + pause >= until:
-                return Err(self._gave_up(reason))
-            await asyncio.sleep(pause)
+            wait_seconds = _RETRY_SECONDS * random.uniform(0.5, 1.5)
+            if loop.time() + wait_seconds >= deadline:
+                return Err(self._no_leader(reason))
+            await asyncio.sleep(wait_seconds)
 
     @staticmethod
-    def _gave_up(last: Failure) -> Failure:
+    def _no_leader(last: Failure) -> Failure:
         return failure(
             Kind.NO_QUORUM,
             f"no control leader answered (last: {last.message})",
--- a/packages/fleet/src/marjoramyard/fleet/util/lag.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/lag.py
@@ -6,11 +6,11 @@
 
 from marjoramyard.kernel.metrics import Metrics
 
-STEP_SECONDS = 0.05
+INTERVAL_SECONDS = 0.05
 LATE_SECONDS = 0.05
 """A wake-up that comes so late means that others wait as well. The smallest
 hosts give a process a quarter of a core, in turns of up to 20 ms."""
-HELD_SECONDS = 0.5
+LATE_HOLD_SECONDS = 0.5
 """How long one late wake-up counts."""
 
 
@@ -25,15 +25,15 @@
     @property
     def is_late(self) -> bool:
         """Whether what is seen now may have happened a while ago."""
-        return time.monotonic() - self.late_at < HELD_SECONDS
+        return time.monotonic() - self.late_at < LATE_HOLD_SECONDS
 
     async def watch(self) -> None:
         """Measures until cancelled."""
         while True:
             began = time.monotonic()
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(INTERVAL_SECONDS)
             now = time.monotonic()
-            late = now - began - STEP_SECONDS
+            late = now - began - INTERVAL_SECONDS
             self.metrics.observe("loop_late_seconds", late)
             if late > LATE_SECONDS:
                 self.late_at = now
--- a/packages/fleet/src/marjoramyard/fleet/util/liveness.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/liveness.py
@@ -16,45 +16,45 @@
     sockets have been read, however long that took.
     """
 
-    def __init__(self, limit_seconds: float, step_seconds: float):
-        self.step_seconds = step_seconds
-        self.limit = round(limit_seconds / step_seconds)
-        self.missed = 0
+    def __init__(self, timeout_seconds: float, tick_seconds: float):
+        self.tick_seconds = tick_seconds
+        self.limit_ticks = round(timeout_seconds / tick_seconds)
+        self.missed_ticks = 0
 
     @property
-    def is_over_limit(self) -> bool:
+    def has_expired(self) -> bool:
         """Whether the peer has been silent for too long."""
-        return self.missed >= self.limit
+        return self.missed_ticks >= self.limit_ticks
 
-    def heard(self) -> None:
+    def reset(self) -> None:
         """The peer said something."""
-        self.missed = 0
+        self.missed_ticks = 0
 
-    def step(self) -> None:
+    def tick(self) -> None:
         """This process woke up once more; to be called once a step."""
-        self.missed += 1
+        self.missed_ticks += 1
 
-    async def guard(self, awaited: Awaitable[T]) -> T:
+    async def wait_for(self, awaitable: Awaitable[T]) -> T:
         """Awaits something that needs the peer, and counts its silence.
 
         Raises:
             TimeoutError: The peer has been silent for too long.
         """
-        task = asyncio.ensure_future(awaited)
-        counting = asyncio.ensure_future(self._count())
+        task = asyncio.ensure_future(awaitable)
+        counter = asyncio.ensure_future(self._wait_for_expiry())
         try:
             await asyncio.wait(
-                {task, counting}, return_when=asyncio.FIRST_COMPLETED
+                {task, counter}, return_when=asyncio.FIRST_COMPLETED
             )
             if not task.done():
                 raise TimeoutError("the peer is silent")
             return task.result()
         finally:
             task.cancel()
-            counting.cancel()
-            await asyncio.gather(task, counting, return_exceptions=True)
+            counter.cancel()
+            await asyncio.gather(task, counter, return_exceptions=True)
 
-    async def _count(self) -> None:
-        while not self.is_over_limit:
-            await asyncio.sleep(self.step_seconds)
-            self.step()
+    async def _wait_for_expiry(self) -> None:
+        while not self.has_expired:
+            await asyncio.sleep(self.tick_seconds)
+            self.tick()
--- a/packages/fleet/tests/gateway/granting_broker.py
+++ b/packages/fleet/tests/gateway/granting_broker.py
@@ -11,11 +11,11 @@
 
 from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    HEARTBEAT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
     Heartbeat,
     PlaceGrant,
     PlaceRequest,
-    to_broker,
+    gateway_message_decoder,
 )
 
 
@@ -23,25 +23,25 @@
     await socket.send_str(msgspec.json.encode(list(messages)).decode())
 
 
-async def beat_forever(socket):
+async def send_heartbeats_forever(socket):
     while True:
         await send(socket, Heartbeat())
-        await asyncio.sleep(HEARTBEAT_SECONDS)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
 
 async def serve(request):
     socket = web.WebSocketResponse(compress=False)
     await socket.prepare(request)
-    beats = asyncio.create_task(beat_forever(socket))
+    heartbeats = asyncio.create_task(send_heartbeats_forever(socket))
     try:
-        async for message in socket:
-            if message.type is not WSMsgType.TEXT:
+        async for frame in socket:
+            if frame.type is not WSMsgType.TEXT:
                 continue
-            for told in to_broker.decode(message.data):
-                if isinstance(told, PlaceRequest):
-                    await send(socket, PlaceGrant(told.number, "e0"))
+            for request in gateway_message_decoder.decode(frame.data):
+                if isinstance(request, PlaceRequest):
+                    await send(socket, PlaceGrant(request.number, "e0"))
     finally:
-        beats.cancel()
+        heartbeats.cancel()
     return socket
 
 
--- a/packages/fleet/tests/gateway/test_broker_client.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -73,19 +73,19 @@
 
 
 @contextlib.asynccontextmanager
-async def linked(address, metrics):
+async def connected_client(address, metrics):
     async with aiohttp.ClientSession() as session:
         lag = LoopLag(metrics)
-        link = BrokerClient(ViewOfOneBroker(address), session, lag)
+        client = BrokerClient(ViewOfOneBroker(address), session, lag)
         tasks = [
             asyncio.create_task(lag.watch()),
-            asyncio.create_task(link.run("llm")),
+            asyncio.create_task(client.run("llm")),
         ]
         try:
             async with asyncio.timeout(10):
-                while not link.is_up:
+                while not client.is_connected:
                     await asyncio.sleep(0.01)
-            yield link
+            yield client
         finally:
             for task in tasks:
                 task.cancel()
@@ -103,14 +103,14 @@
         route=ROUTE,
         workspace=None,
         arrived_at=now,
-        give_up_at=now + 5,
+        deadline_at=now + 5,
     )
 
 
-async def place(link):
+async def place(client):
     async with asyncio.timeout(10):
-        _, told = await link.place(request(), SERVICE, set())
-    return told
+        _, reply = await client.place(request(), SERVICE, set())
+    return reply
 
 
 def hold_the_loop(seconds):
@@ -126,13 +126,13 @@
     """
     async with (
         broker_process() as (_, address),
-        linked(address, metrics) as link,
+        connected_client(address, metrics) as client,
     ):
         for _ in range(4):
-            asked_before = asyncio.create_task(place(link))
+            asked_before = asyncio.create_task(place(client))
             await asyncio.sleep(0)
             hold_the_loop(BROKER_TIMEOUT_SECONDS * 1.5)
-            assert isinstance(await place(link), PlaceGrant)
+            assert isinstance(await place(client), PlaceGrant)
             assert isinstance(await asked_before, PlaceGrant)
 
 
@@ -140,10 +140,10 @@
     """Guards against: requests wait for a broker whose host stands still."""
     async with (
         broker_process() as (child, address),
-        linked(address, metrics) as link,
+        connected_client(address, metrics) as client,
     ):
-        assert isinstance(await place(link), PlaceGrant)
+        assert isinstance(await place(client), PlaceGrant)
         child.send_signal(signal.SIGSTOP)
         began = time.monotonic()
-        assert await place(link) is None
+        assert await place(client) is None
         assert time.monotonic() - began < 3 * BROKER_TIMEOUT_SECONDS
--- a/packages/fleet/tests/gateway/test_broker_server.py
+++ b/packages/fleet/tests/gateway/test_broker_server.py
@@ -17,18 +17,18 @@
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    HEARTBEAT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
     Heartbeat,
     PlaceGrant,
     PlaceRequest,
-    from_broker,
+    broker_message_decoder,
 )
 from marjoramyard.fleet.gateway.broker_server import BrokerServer
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.view import FleetView
 
 OBJECTIVE_MS = 500.0
-PATIENCE_MS = 5000.0
+TIMEOUT_MS = 5000.0
 
 
 def view_of_one_engine():
@@ -36,24 +36,26 @@
     profile = EngineProfile(slots=64, memory_tokens=500_000)
     config = FleetConfig(1, services=(Service("llm", engine=profile),))
     view.table = RouteTable(config)
-    word = Registration(endpoint="e0", service="llm", address="127.0.0.1:1")
-    view.registrations.merge(word, 0.0)
+    registration = Registration(
+        endpoint="e0", service="llm", address="127.0.0.1:1"
+    )
+    view.registrations.merge(registration, 0.0)
     return view
 
 
 @pytest.fixture
 async def broker_url():
-    desk = BrokerServer(view_of_one_engine())
+    server = BrokerServer(view_of_one_engine())
     app = web.Application()
-    app.add_routes([web.get(BROKER_PATH, desk.serve)])
+    app.add_routes([web.get(BROKER_PATH, server.serve)])
     runner = web.AppRunner(app, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
-    beats = asyncio.create_task(desk.beat_forever())
+    heartbeats = asyncio.create_task(server.send_heartbeats_forever())
     port = site._server.sockets[0].getsockname()[1]
     yield f"http://127.0.0.1:{port}{BROKER_PATH}"
-    beats.cancel()
+    heartbeats.cancel()
     await runner.cleanup()
 
 
@@ -68,22 +70,22 @@
 
 async def ask(socket, number, workspace, tokens=1800):
     part = (f"{workspace}-{number}", tokens)
-    asked = PlaceRequest(
-        number, "llm", workspace, [part], 10, OBJECTIVE_MS, PATIENCE_MS
+    request = PlaceRequest(
+        number, "llm", workspace, [part], 10, OBJECTIVE_MS, TIMEOUT_MS
     )
-    await socket.send_str(msgspec.json.encode([asked]).decode())
+    await socket.send_str(msgspec.json.encode([request]).decode())
 
 
 @contextlib.asynccontextmanager
-async def beating(socket):
+async def sending_heartbeats(socket):
     """Says that the gateway is there, as one does that waits for a grant."""
 
-    async def beat_forever():
+    async def send_heartbeats_forever():
         while True:
             await socket.send_str(msgspec.json.encode([Heartbeat()]).decode())
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    task = asyncio.create_task(beat_forever())
+    task = asyncio.create_task(send_heartbeats_forever())
     try:
         yield
     finally:
@@ -95,9 +97,9 @@
     """Returns what the broker says of a request."""
     while True:
         message = await socket.receive()
-        for told in from_broker.decode(message.data):
-            if getattr(told, "number", None) == number:
-                return told
+        for reply in broker_message_decoder.decode(message.data):
+            if getattr(reply, "number", None) == number:
+                return reply
 
 
 async def test_a_silent_gateway_does_not_hold_up_the_others(broker_url):
@@ -109,7 +111,10 @@
             await ask(silent, number, "flood")
         assert isinstance(await answer(silent, 1), PlaceGrant)
         await ask(sound, 1, "small")
-        async with beating(sound), asyncio.timeout(OBJECTIVE_MS / 1000):
+        async with (
+            sending_heartbeats(sound),
+            asyncio.timeout(OBJECTIVE_MS / 1000),
+        ):
             assert isinstance(await answer(sound, 1), PlaceGrant)
 
 
@@ -122,7 +127,10 @@
             await ask(late, number, "flood")
         assert isinstance(await answer(late, 2), PlaceGrant)
         await ask(sound, 1, "small")
-        async with beating(sound):
+        async with sending_heartbeats(sound):
             assert isinstance(await answer(sound, 1), PlaceGrant)
-        async with beating(late), asyncio.timeout(OBJECTIVE_MS / 1000):
+        async with (
+            sending_heartbeats(late),
+            asyncio.timeout(OBJECTIVE_MS / 1000),
+        ):
             assert isinstance(await answer(late, 3), PlaceGrant)
--- a/packages/fleet/tests/gateway/test_early_refusal.py
+++ b/packages/fleet/tests/gateway/test_early_refusal.py
@@ -41,9 +41,9 @@
 
 def guarded(judge=lambda head: REFUSED, waits=True):
     recorder = Recorder()
-    guard = EarlyRefusal(recorder, lambda: waits, lambda: True, judge)
-    guard.transport = recorder
-    return guard, recorder
+    protocol = EarlyRefusal(recorder, lambda: waits, lambda: True, judge)
+    protocol.transport = recorder
+    return protocol, recorder
 
 
 @given(st.lists(st.integers(1, 400), max_size=4))
@@ -51,19 +51,19 @@
     """Guards against: the rest of a refused request is read as the next."""
     data = request(b"GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n" * 9)
     head_size = data.find(b"\r\n\r\n") + 4
-    guard, recorder = guarded()
-    place = 0
+    protocol, recorder = guarded()
+    position = 0
     for cut in cuts:
-        end = min(len(data), max(place, head_size) + cut)
-        if end > place:
+        end = min(len(data), max(position, head_size) + cut)
+        if end > position:
             assert recorder.written == b""
-            guard.data_received(data[place:end])
-            place = end
-    if place < len(data):
-        guard.data_received(data[place:])
+            protocol.data_received(data[position:end])
+            position = end
+    if position < len(data):
+        protocol.data_received(data[position:])
     assert recorder.written == REFUSED
     assert recorder.passed == b""
-    guard.data_received(data)
+    protocol.data_received(data)
     assert recorder.written == REFUSED * 2
 
 
@@ -83,23 +83,23 @@
 )
 def test_what_is_not_plain_is_left_to_the_library(data):
     """Guards against: a request is smuggled within another one."""
-    guard, recorder = guarded()
-    guard.data_received(data)
-    guard.data_received(request())
+    protocol, recorder = guarded()
+    protocol.data_received(data)
+    protocol.data_received(request())
     assert recorder.passed == data + request()
     assert recorder.written == b""
 
 
 def test_nothing_is_refused_while_an_answer_is_on_its_way():
-    guard, recorder = guarded(waits=False)
-    guard.data_received(request())
+    protocol, recorder = guarded(waits=False)
+    protocol.data_received(request())
     assert recorder.passed == request()
 
 
 def test_a_judge_reads_path_and_headers():
     heads = []
-    guard, recorder = guarded(heads.append)
-    guard.data_received(request(b"x", "/a/b?c", ["Api-Key:  k1 "]))
+    protocol, recorder = guarded(heads.append)
+    protocol.data_received(request(b"x", "/a/b?c", ["Api-Key:  k1 "]))
     (head,) = heads
     assert head.path == "/a/b?c"
     assert head.header(b"api-key") == "k1"
@@ -117,10 +117,10 @@
     """Guards against: a caller that sends its next request early waits for
     ever, because the bytes behind a refused one are taken for its body.
     """
-    guard, recorder = guarded()
+    protocol, recorder = guarded()
     data = request(b"x" * 100) + request(b"y")
-    guard.data_received(data[:80])
-    guard.data_received(data[80:])
+    protocol.data_received(data[:80])
+    protocol.data_received(data[80:])
     assert recorder.written == REFUSED * 2
     assert recorder.passed == b""
 
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -21,9 +21,9 @@
 
     def enter(self, workspace, count):
         for _ in range(count):
-            serving = self.limit.serving(workspace)
-            serving.__enter__()
-            self.running.append(serving)
+            admit = self.limit.admit(workspace)
+            admit.__enter__()
+            self.running.append(admit)
 
     def leave(self, count):
         for _ in range(count):
@@ -49,11 +49,11 @@
     limit = gateway.limit
     gateway.enter("flood", 200)
     limit.on_wake_up(LATE)
-    with pytest.raises(FleetError) as caught, limit.serving("flood"):
+    with pytest.raises(FleetError) as caught, limit.admit("flood"):
         pass
     assert caught.value.failure.kind is Kind.OVERLOADED
     assert caught.value.failure.retry_after > 1
-    assert limit.take_refused() == {"flood": 1}
+    assert limit.pop_refused_counts() == {"flood": 1}
     assert limit.total == 200
 
 
@@ -94,9 +94,9 @@
     """
     gateway.enter("flood", 100)
     gateway.enter("small", 20)
-    assert not gateway.limit.is_flooded
+    assert not gateway.limit.is_overloaded_by_one
     gateway.limit.on_wake_up(LATE)
-    assert gateway.limit.is_flooded
+    assert gateway.limit.is_overloaded_by_one
 
 
 def test_a_gateway_with_too_much_of_everybody_stays_ready(gateway):
@@ -104,4 +104,4 @@
     for number in range(10):
         gateway.enter(f"w{number}", 20)
     gateway.limit.on_wake_up(LATE)
-    assert not gateway.limit.is_flooded
+    assert not gateway.limit.is_overloaded_by_one
--- a/packages/fleet/tests/gateway/test_refusal_cache.py
+++ b/packages/fleet/tests/gateway/test_refusal_cache.py
@@ -18,7 +18,7 @@
     now = 100.0
     monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
     known = refusal_cache.RefusalCache()
-    known.note("flood", "chat", refusal(30.0))
+    known.add("flood", "chat", refusal(30.0))
     assert known.find("flood", "chat") == refusal(30.0)
     assert known.find("flood", "guide") is None
     assert known.find("small", "chat") is None
@@ -30,12 +30,12 @@
     now = 100.0
     monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
     known = refusal_cache.RefusalCache()
-    known.note("flood", "chat", refusal(5000.0))
-    now = 100.0 + refusal_cache.MAX_HELD_SECONDS
+    known.add("flood", "chat", refusal(5000.0))
+    now = 100.0 + refusal_cache.MAX_CACHED_SECONDS
     assert known.find("flood", "chat") is None
 
 
 def test_a_refusal_that_says_nothing_of_the_line_is_not_kept():
     known = refusal_cache.RefusalCache()
-    known.note("w", "chat", refusal(0.0))
+    known.add("w", "chat", refusal(0.0))
     assert known.find("w", "chat") is None
--- a/packages/fleet/tests/gateway/test_serving.py
+++ b/packages/fleet/tests/gateway/test_request_handler.py
@@ -16,7 +16,7 @@
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.early_refusal import parse_head
-from marjoramyard.fleet.gateway.serving import Dispatcher
+from marjoramyard.fleet.gateway.request_handler import RequestHandler
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.metrics import Metrics
 from marjoramyard.kernel.util.clocks import boot_seconds
@@ -40,7 +40,7 @@
 
 
 @pytest.fixture
-def dispatcher():
+def handler():
     view = FleetView(GATEWAY_DIALECTS.get("native"), 60.0)
     view.table = RouteTable(CONFIG)
     view.lease.renewed(boot_seconds(), 60.0)
@@ -51,41 +51,41 @@
         stopping=asyncio.Event(),
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(on_wake_up=[]))
-    made = Dispatcher(view, None, brokers, app)
+    made = RequestHandler(view, None, brokers, app)
     made.limit.limit = 1.0
-    with made.limit.serving("flood"):
+    with made.limit.admit("flood"):
         yield made
     metrics.close()
 
 
-def refusal(dispatcher, path="/llm/x", key="k1"):
+def refusal(handler, path="/llm/x", key="k1"):
     text = f"POST {path} HTTP/1.1\r\nHost: h\r\nApi-Key: {key}\r\n\r\n"
-    return dispatcher.refuse_early(parse_head(text.encode()))
+    return handler.refuse_early(parse_head(text.encode()))
 
 
-def test_a_prompt_beyond_the_limit_is_told_when_to_come_back(dispatcher):
-    told = refusal(dispatcher).decode()
-    assert told.startswith("HTTP/1.1 503 ")
-    assert "Retry-After: " in told
-    assert '"outcome":"not-run"' in told.partition("\r\n\r\n")[2]
-    assert dispatcher.limit.take_refused() == {"flood": 1}
+def test_a_prompt_beyond_the_limit_is_told_when_to_come_back(handler):
+    response = refusal(handler).decode()
+    assert response.startswith("HTTP/1.1 503 ")
+    assert "Retry-After: " in response
+    assert '"outcome":"not-run"' in response.partition("\r\n\r\n")[2]
+    assert handler.limit.pop_refused_counts() == {"flood": 1}
 
 
 @pytest.mark.parametrize(
     "request_", [{"path": "/api/x"}, {"key": "k2"}, {"path": "/other"}]
 )
-def test_other_requests_are_parsed(dispatcher, request_):
+def test_other_requests_are_parsed(handler, request_):
     """Guards against: a flood of prompts that keeps out plain calls, or the
     prompts of other workspaces.
     """
-    assert refusal(dispatcher, **request_) is None
+    assert refusal(handler, **request_) is None
 
 
-def test_an_unknown_key_is_not_told_to_come_back(dispatcher):
-    assert refusal(dispatcher, key="unknown") is None
-    assert refusal(dispatcher, key="") is None
+def test_an_unknown_key_is_not_told_to_come_back(handler):
+    assert refusal(handler, key="unknown") is None
+    assert refusal(handler, key="") is None
 
 
-def test_no_key_is_judged_without_a_lease(dispatcher):
-    dispatcher.view.lease.until = 0.0
-    assert refusal(dispatcher) is None
+def test_no_key_is_judged_without_a_lease(handler):
+    handler.view.lease.until = 0.0
+    assert refusal(handler) is None
--- a/packages/fleet/tests/gateway/test_request_run.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -53,8 +53,10 @@
 def view():
     made = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
     made.table = RouteTable(FleetConfig(1, services=(SERVICE,)))
-    word = Registration(endpoint="e0", service="api", address="127.0.0.1:1")
-    made.registrations.merge(word, 0.0)
+    registration = Registration(
+        endpoint="e0", service="api", address="127.0.0.1:1"
+    )
+    made.registrations.merge(registration, 0.0)
     return made
 
 
@@ -69,10 +71,10 @@
         route=ROUTE,
         workspace=None,
         arrived_at=now,
-        give_up_at=now + 5,
+        deadline_at=now + 5,
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(is_late=is_late))
-    tools = RequestRunContext(
+    context = RequestRunContext(
         view,
         SessionThatTimesOut(),
         brokers,
@@ -82,7 +84,9 @@
     )
     delivery = SimpleNamespace(events=SimpleNamespace(last_id=""))
     budget = RetryBudget(0.2, 10)
-    return RequestRun(tools, caller, delivery, RequestTrace(), SERVICE, budget)
+    return RequestRun(
+        context, caller, delivery, RequestTrace(), SERVICE, budget
+    )
 
 
 @pytest.mark.parametrize("is_late", [True, False])
@@ -92,7 +96,7 @@
     """
     run = make_run(view, metrics, is_late)
     with pytest.raises(FleetError) as caught:
-        await run.to_end()
+        await run.run_to_completion()
     assert caught.value.failure.kind is Kind.NO_ENDPOINT
     health = view.health_of("e0")
     assert health.is_paused(time.monotonic()) is not is_late
