--- a/packages/fleet/src/marjoramyard/fleet/gateway/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: an entry that dispatches straight to endpoints."""
+"""The gateway: admits callers' requests and sends them to endpoints."""
--- a/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
@@ -18,25 +18,29 @@
 from marjoramyard.kernel.errors import Kind, raise_failure
 
 NO_CONFIG_RETRY_SECONDS = 0.5
-"""A gateway that starts gets its configuration within a few round trips."""
+"""`Retry-After` while the gateway has no configuration yet."""
 NETWORK_ALLOWANCE_MS = 20.0
-"""A caller's patience began when it sent the request, and ends when the
-answer is there: a few ms each way, and what both sides take to write."""
+"""Subtracted from the caller's deadline for the network and for writing the
+response."""
 NO_LEASE_RETRY_SECONDS = 0.5
-"""About what a poll takes once a leader is there again."""
+"""`Retry-After` while the gateway has no valid lease."""
 
 
 class CallerRequest(msgspec.Struct, kw_only=True):
     """One attempt of a caller.
 
     Attributes:
-        attempt: The caller's id of it.
-        method: As it came, like `target`: the path with its query.
-        headers: Those that are passed on.
-        give_up_at: Loop clock; no answer after this is of use.
-        arrived_at: Loop clock.
-        keyed_by: The key it came with; "" on open routes.
-        output_tokens: The most tokens that the answer may have.
+        attempt: The caller's ID of the attempt.
+        method: The HTTP method.
+        target: The path with its query, as received.
+        headers: The headers that are forwarded to the endpoint.
+        arrived_at: When the request arrived, on the monotonic clock in seconds.
+        deadline_at: When the response is due, on the monotonic clock in
+            seconds.
+        api_key: The API key of the request; "" on open routes.
+        parts: The prompt parts.
+        output_tokens: The maximum number of output tokens.
+        last_event: The ID of the last event that the caller has; "" for none.
     """
 
     attempt: str
@@ -55,26 +59,28 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether it may run again after it may have run."""
+        """Whether the request may be sent again after it may have run."""
         return self.route.may_repeat
 
     @property
     def unshared_memory_tokens(self) -> float:
-        """What its run takes of an engine's memory beside shared parts."""
+        """Tokens of engine memory needed beside shared prompt parts."""
         own = self.parts[-1].tokens if self.parts else 0
         return float(own + self.output_tokens)
 
     def seconds_left(self, now: float) -> float:
-        """Returns how many seconds are left."""
+        """Returns the seconds until the deadline."""
         return self.deadline_at - now
 
 
 class AdmittedRequest(msgspec.Struct, frozen=True):
-    """What a request asks for, and in whose name.
+    """The route and the workspace of a request.
 
     Attributes:
-        keyed_by: The key it came with; "" on open routes.
-        arrived_at: Loop clock.
+        route: The route that matches the request.
+        workspace: The workspace of the API key; None on open routes.
+        api_key: The API key of the request; "" on open routes.
+        arrived_at: When the request arrived, on the monotonic clock in seconds.
     """
 
     route: Route
@@ -86,16 +92,16 @@
 def admit(
     request: web.Request, view: FleetView, names: HeaderNames
 ) -> AdmittedRequest:
-    """Finds a request's route and workspace.
+    """Finds the route and the workspace of a request.
 
     Raises:
-        FleetError: It can't be served; it has not run.
+        FleetError: The request can't be served; it has not run.
     """
     table = view.table
     if table is None:
         raise_failure(
             Kind.NO_LEASE,
-            "no configuration here yet; come back in a moment",
+            "this gateway has no configuration yet; retry shortly",
             retry_after=NO_CONFIG_RETRY_SECONDS,
         )
     arrived_at = time.monotonic()
@@ -103,29 +109,29 @@
     if route is None:
         raise_failure(
             Kind.UNKNOWN_ROUTE,
-            "no route has this host and path; compare with the configuration",
+            "no route matches this host and path; check the configuration",
         )
     key, workspace = _workspace(request, route, table, names)
     if workspace is not None and not view.has_valid_lease():
         raise_failure(
             Kind.NO_LEASE,
-            "cut off from the control hosts, so keys can't be checked; come "
-            "back in a moment",
+            "the gateway can't reach the control hosts to verify keys; retry "
+            "shortly",
             retry_after=NO_LEASE_RETRY_SECONDS,
         )
     return AdmittedRequest(route, workspace, key, arrived_at)
 
 
 def read_caller_request(
-    request: web.Request, claim: AdmittedRequest, names: HeaderNames
+    request: web.Request, admitted: AdmittedRequest, names: HeaderNames
 ) -> CallerRequest:
-    """Reads the rest of a request's head; its body is not read yet.
+    """Reads the rest of a request's head; leaves the body empty.
 
     Raises:
-        FleetError: It can't be understood; it has not run.
+        FleetError: The head is invalid; the request has not run.
     """
-    route = claim.route
-    deadline_at = claim.arrived_at + _seconds_allowed(request, route, names)
+    route = admitted.route
+    deadline_at = admitted.arrived_at + _seconds_allowed(request, route, names)
     return CallerRequest(
         attempt=request.headers.get(names.attempt, ""),
         method=request.method,
@@ -133,10 +139,10 @@
         headers=_forwarded_headers(request, names),
         body=b"",
         route=route,
-        workspace=claim.workspace,
-        arrived_at=claim.arrived_at,
+        workspace=admitted.workspace,
+        arrived_at=admitted.arrived_at,
         deadline_at=deadline_at,
-        api_key=claim.api_key,
+        api_key=admitted.api_key,
         parts=parse_prompt_parts(request.headers.get(names.prompt_parts, "")),
         output_tokens=_output_tokens(request, names),
         last_event=request.headers.get(names.last_event, ""),
@@ -161,15 +167,15 @@
 def _seconds_allowed(
     request: web.Request, route: Route, names: HeaderNames
 ) -> float:
-    """Returns the seconds until the final answer is due."""
-    allowed = route.timeout_ms
+    """Returns the seconds from arrival until the response is due."""
+    allowed_ms = route.timeout_ms
     text = request.headers.get(names.deadline_ms, "")
     try:
         if text:
-            allowed = min(allowed, float(text) - NETWORK_ALLOWANCE_MS)
+            allowed_ms = min(allowed_ms, float(text) - NETWORK_ALLOWANCE_MS)
     except ValueError:
         raise_failure(Kind.BAD_REQUEST, f"{names.deadline_ms} must be a number")
-    return max(0.0, allowed / 1000)
+    return max(0.0, allowed_ms / 1000)
 
 
 def _output_tokens(request: web.Request, names: HeaderNames) -> int:
@@ -180,8 +186,9 @@
 def _forwarded_headers(request: web.Request, names: HeaderNames) -> Headers:
     """Returns the headers for the endpoint.
 
-    Whatever steers an endpoint's memory, or says who calls, is the fleet's
-    to set: a caller could read another one's prompt or take its place.
+    Headers that identify the caller or control an endpoint's cache are dropped.
+    Only the fleet may set them: a caller could otherwise read another
+    workspace's prompt or impersonate it.
     """
     dropped = names.not_forwarded | _named_by_connection(request)
     return [
--- a/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, and what became of it."""
+"""Sends a request to one endpoint and classifies the result."""
 
 import time
 from collections.abc import AsyncIterator
@@ -16,25 +16,25 @@
 
 
 class SendOutcome(Enum):
-    """What is known after a send."""
+    """What is known about a request after a send."""
 
     ANSWERED = "answered"
     NOT_SENT = "not-sent"
     """No byte reached the endpoint."""
     REFUSED = "refused"
-    """The endpoint says that it did not and will not run it."""
+    """The endpoint states that it did not and will not run the request."""
     BROKEN = "broken"
-    """It may have run."""
+    """The endpoint may have run the request."""
 
 
 class SendFailedError(Exception):
-    """A send that brought no answer to pass on.
+    """A send without a response that can be relayed.
 
     Attributes:
-        outcome: What is known of it.
-        why: For the log.
-        retry_after: What the endpoint said of coming back, in seconds.
-        timed_out: No connection came in time.
+        outcome: What is known about the request.
+        reason: The cause, for logs.
+        retry_after: The `Retry-After` of the endpoint in seconds; 0 for none.
+        timed_out: The connection could not be established in time.
     """
 
     def __init__(
@@ -55,12 +55,14 @@
     """Where and how a request is sent.
 
     Attributes:
-        endpoint: The registration that was chosen.
-        fetch_from: Address of the endpoint that keeps parts, or "".
-        last_event: The last event that the caller has; "" for none.
-        tokens: Prompt tokens that it is expected to read.
-        number: Names the request to the broker; 0 for plain services.
-        is_granted: The broker chose the endpoint.
+        endpoint: The registration of the chosen endpoint.
+        fetch_from: The address of the endpoint to fetch cached prompt parts
+            from; "" for none.
+        last_event: The ID of the last event that the caller has; "" for none.
+        prefill_tokens: Prompt tokens that the endpoint is expected to prefill.
+        broker_number: Identifies the request to the broker; 0 for services
+            without engines.
+        is_granted: Whether the broker chose the endpoint.
     """
 
     endpoint: Registration
@@ -74,14 +76,14 @@
 def outgoing_headers(
     request: CallerRequest, plan: SendPlan, names: HeaderNames, now: float
 ) -> Headers:
-    """Returns the headers of a send."""
-    left_ms = max(1, int(request.seconds_left(now) * 1000))
+    """Returns the request headers of a send."""
+    remaining_ms = max(1, int(request.seconds_left(now) * 1000))
     headers = [
         (name, value)
         for name, value in request.headers
         if name.lower() != names.last_event.lower()
     ]
-    headers.append((names.deadline_ms, str(left_ms)))
+    headers.append((names.deadline_ms, str(remaining_ms)))
     headers.append((names.target, plan.endpoint.endpoint))
     if request.workspace is not None:
         headers.append((names.workspace, request.workspace.name))
@@ -99,13 +101,13 @@
     plan: SendPlan,
     names: HeaderNames,
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Sends a request and gives the head of its answer.
+    """Sends a request and yields the response once its head has arrived.
 
-    Leaving the block before the answer has been read closes the connection,
-    which is what makes an endpoint stop.
+    Leaving the context closes the connection, so an endpoint whose response was
+    not read to its end stops running the request.
 
     Raises:
-        SendFailedError: There is no answer that could be passed on.
+        SendFailedError: There is no response that can be relayed.
     """
     url = URL(f"http://{plan.endpoint.address}{request.target}", encoded=True)
     headers = outgoing_headers(request, plan, names, time.monotonic())
@@ -138,17 +140,18 @@
 def check_response_head(
     request: CallerRequest, response: aiohttp.ClientResponse, names: HeaderNames
 ) -> None:
-    """Checks that an answer is this request's, and that it was run.
+    """Checks that a response belongs to the request and that it was run.
 
-    An endpoint may send an extra answer late, in the place of the next one.
-    Its id tells; so a success without the id or the signature is nobody's.
+    Endpoints echo the attempt ID. A faulty endpoint may send an extra response
+    that arrives as that of the next request, so successful responses without
+    the ID or the signature are rejected.
 
     Raises:
-        SendFailedError: It is not to be passed on.
+        SendFailedError: The response must not be relayed.
     """
     echoed = response.headers.get(names.attempt, "")
     if echoed and echoed != request.attempt:
-        raise SendFailedError(SendOutcome.BROKEN, "answer of another request")
+        raise SendFailedError(SendOutcome.BROKEN, "response to another request")
     if names.not_run in response.headers or response.status == 421:
         raise SendFailedError(
             SendOutcome.REFUSED,
@@ -157,7 +160,7 @@
         )
     if response.status < 300:
         if not echoed or names.signature not in response.headers:
-            raise SendFailedError(SendOutcome.BROKEN, "unsigned answer")
+            raise SendFailedError(SendOutcome.BROKEN, "unsigned response")
 
 
 def _parse_seconds(text: str) -> float:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -1,4 +1,4 @@
-"""A gateway's side of brokering: asks, and goes on if nobody answers."""
+"""The gateway side of the broker protocol."""
 
 import asyncio
 import time
@@ -38,10 +38,20 @@
 
 RECONNECT_SECONDS = 0.2
 CONNECT_SECONDS = 0.4
+"""Timeout of opening and of closing a connection."""
 
 
 class BrokerClient:
-    """One connection to the broker of a service."""
+    """A gateway's connection to the broker of one service.
+
+    Attributes:
+        refusals: Recent refusals that still hold.
+        liveness: Expires when the broker sends nothing for too long.
+        last_number: The number of the last request.
+        pending: Place requests without a reply, by number.
+        running: Requests at endpoints, by number.
+        outbox: Messages to be sent in the next frame.
+    """
 
     def __init__(
         self, view: FleetView, session: aiohttp.ClientSession, lag: LoopLag
@@ -62,11 +72,11 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether a broker answers."""
+        """Whether there is a connection and the broker is responsive."""
         return self.socket is not None and not self.liveness.has_expired
 
     async def run(self, service: str) -> None:
-        """Keeps connected to the service's broker until cancelled."""
+        """Connects to the service's broker, and reconnects, until cancelled."""
         while True:
             address = self.view.broker_of(service)
             if address:
@@ -85,7 +95,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             logger.info("broker_unreachable", broker=address, why=repr(error))
             return
-        logger.info("broker_found", service=service, broker=address)
+        logger.info("broker_connected", service=service, broker=address)
         self.socket = socket
         self.liveness.reset()
         self.outbox = list(self.running.values())
@@ -93,7 +103,7 @@
         try:
             await self.liveness.wait_for(self._read(service, address, socket))
         except TimeoutError:
-            logger.info("broker_silent", service=service, broker=address)
+            logger.info("broker_unresponsive", service=service, broker=address)
         finally:
             self.socket = None
             self._release_pending()
@@ -102,12 +112,12 @@
 
     async def _read(self, service: str, address: str, socket) -> None:
         while self.view.broker_of(service) == address:
-            message = await socket.receive()
-            if message.type is not aiohttp.WSMsgType.TEXT:
+            frame = await socket.receive()
+            if frame.type is not aiohttp.WSMsgType.TEXT:
                 return
             self.liveness.reset()
-            for reply in broker_message_decoder.decode(message.data):
-                self._on_message(reply)
+            for message in broker_message_decoder.decode(frame.data):
+                self._on_message(message)
 
     @staticmethod
     async def _close(socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -117,18 +127,18 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             logger.info("broker_close_failed", why=repr(error))
 
-    def _on_message(self, reply: BrokerMessage) -> None:
-        if isinstance(reply, Heartbeat):
+    def _on_message(self, message: BrokerMessage) -> None:
+        if isinstance(message, Heartbeat):
             return
-        future = self.pending.pop(reply.number, None)
+        future = self.pending.pop(message.number, None)
         if future is not None and not future.done():
-            future.set_result(reply)
-        elif isinstance(reply, PlaceGrant):
-            # Its caller left, or it went by our own estimate meanwhile.
-            self._send(Finished(reply.number))
+            future.set_result(message)
+        elif isinstance(message, PlaceGrant):
+            # The caller disconnected, or the request was placed locally.
+            self._send(Finished(message.number))
 
     def _release_pending(self) -> None:
-        """Lets what waits for a lost broker go on without it."""
+        """Lets pending requests proceed without a broker."""
         pending, self.pending = self.pending, {}
         for future in pending.values():
             if not future.done():
@@ -141,7 +151,7 @@
         self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        """Sends in one frame what one turn of the loop has brought."""
+        """Sends all messages of one event loop iteration in one frame."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
@@ -157,22 +167,27 @@
     async def place(
         self, caller: CallerRequest, service: Service, excluded: set[str]
     ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
-        """Asks for a place; None if no broker answers.
+        """Requests a place for a request from the broker.
+
+        Args:
+            caller: The request.
+            service: The service that it is for.
+            excluded: Endpoints that it must not be sent to.
 
         Returns:
-            The request's number, for what is told of it later, and the
-            broker's answer.
+            The request's number for later calls, and the broker's reply, or
+                None if no broker replied.
         """
         self.last_number += 1
         number = self.last_number
         if not self.is_connected:
             return number, None
         workspace = caller.workspace.name if caller.workspace else ""
-        known = self.refusals.find(workspace, caller.route.name)
-        if known is not None:
-            return number, known
+        cached = self.refusals.find(workspace, caller.route.name)
+        if cached is not None:
+            return number, cached
         now = time.monotonic()
-        due = caller.arrived_at + caller.route.objective_ms / 1000 - now
+        seconds_due = caller.arrived_at + caller.route.objective_ms / 1000 - now
         future = asyncio.get_running_loop().create_future()
         self.pending[number] = future
         self._send(
@@ -182,7 +197,7 @@
                 workspace,
                 [(part.digest, part.tokens) for part in caller.parts],
                 caller.output_tokens,
-                due * 1000,
+                seconds_due * 1000,
                 caller.seconds_left(now) * 1000,
                 sorted(excluded),
             )
@@ -197,37 +212,47 @@
                 self._send(Withdraw(number))
 
     async def send_heartbeats_forever(self) -> None:
-        """Tells the broker that this host is there, while it holds grants."""
+        """Sends heartbeats while a request is pending or being prefilled."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             if self.pending or any(r.tokens for r in self.running.values()):
                 self._send(Heartbeat(self.lag.is_late))
 
     def on_started(self, running: RunningRequest, is_granted: bool) -> None:
-        """A request goes to its endpoint, with a grant or without one."""
+        """Records that a request is being sent to an endpoint.
+
+        Args:
+            running: The request.
+            is_granted: Whether the broker chose the endpoint.
+        """
         self.running[running.number] = running
         if not is_granted:
             self._send(running)
 
     def return_grant(self, number: int) -> None:
-        """A grant is given back."""
+        """Tells the broker that a grant is not used."""
         self._send(Finished(number))
 
     def on_first_token(self, number: int) -> None:
-        """The first token of a request came."""
+        """Reports the first token of a request to the broker."""
         running = self.running.get(number)
         if running is not None and running.tokens:
             running.tokens = 0.0
             self._send(FirstToken(number, self.lag.is_late))
 
     def on_finished(self, number: int, failed: bool) -> None:
-        """A request is no longer at its endpoint."""
+        """Reports that a request is no longer at its endpoint.
+
+        Args:
+            number: The request's number.
+            failed: Whether the endpoint failed to respond.
+        """
         if self.running.pop(number, None) is not None:
             self._send(Finished(number, failed))
 
 
 class BrokerClients:
-    """The links to the brokers of all services with engines."""
+    """The broker clients of all services with engines."""
 
     def __init__(
         self,
@@ -250,7 +275,7 @@
                 self.client_for(name)
 
     def client_for(self, service: str) -> BrokerClient:
-        """Returns the link for a service."""
+        """Returns the client of a service's broker; creates it if needed."""
         client = self.clients.get(service)
         if client is None:
             client = BrokerClient(self.view, self.session, self.lag)
@@ -262,7 +287,7 @@
 
 @asynccontextmanager
 async def open_broker_session() -> AsyncIterator[aiohttp.ClientSession]:
-    """Owns the connections to brokers."""
+    """Opens the HTTP session for connections to brokers."""
     async with aiohttp.ClientSession() as session:
         yield session
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
@@ -1,4 +1,7 @@
-"""Messages between gateways and the broker of a service."""
+"""Messages between gateways and the broker of a service.
+
+Gateways and brokers exchange JSON arrays of messages over a WebSocket.
+"""
 
 import msgspec
 
@@ -6,23 +9,23 @@
 
 BROKER_PATH = "/fleet/v1/broker"
 HEARTBEAT_INTERVAL_SECONDS = 0.1
-"""How often a broker says that it is there."""
 BROKER_TIMEOUT_SECONDS = 0.4
-"""A broker that was not heard for so long is frozen or cut off. Requests
-then go by the gateway's own estimates; three missed beats, and a short
-pause of a busy host is not taken for one."""
+"""A broker from which nothing was received for so long is considered
+unresponsive. Requests are then placed by the gateway's own estimates."""
 
 
 class PlaceRequest(msgspec.Struct, tag="ask", omit_defaults=True):
-    """A gateway asks where a request may run.
+    """A gateway requests an endpoint for a request.
 
     Attributes:
-        number: Names the request on this connection.
-        service: The service it is for.
-        parts: Its prompt, as (digest, tokens).
-        due_ms: When its first token is due, from now.
-        left_ms: When its caller gives up, from now.
-        without: Endpoints that it must not go to.
+        number: Identifies the request on this connection.
+        service: The service that the request is for.
+        workspace: The workspace of the caller; "" on open routes.
+        parts: The prompt parts, as (digest, tokens).
+        output_tokens: The maximum number of output tokens.
+        due_ms: Milliseconds until the first token is due.
+        left_ms: Milliseconds until the caller's deadline.
+        without: Endpoints that must not be chosen.
     """
 
     number: int
@@ -35,22 +38,22 @@
     without: list[str] = []
 
     def prompt(self) -> tuple[PromptPart, ...]:
-        """Returns the parts as typed ones."""
+        """Returns the prompt parts."""
         return tuple(PromptPart(digest, size) for digest, size in self.parts)
 
 
 class Withdraw(msgspec.Struct, tag="withdraw"):
-    """The caller of a waiting request has left."""
+    """The caller of a queued request has disconnected."""
 
     number: int
 
 
 class FirstToken(msgspec.Struct, tag="first", omit_defaults=True):
-    """The first token of a request came.
+    """The first token of a request has arrived at the gateway.
 
     Attributes:
-        is_late: The gateway is short of processor, so the token may have
-            come some time ago.
+        is_late: The gateway's event loop is late, so the token may have arrived
+            earlier.
     """
 
     number: int
@@ -61,7 +64,7 @@
     """A request is no longer at its endpoint.
 
     Attributes:
-        failed: The endpoint did not answer it.
+        failed: The endpoint failed to respond.
     """
 
     number: int
@@ -69,7 +72,13 @@
 
 
 class RunningRequest(msgspec.Struct, tag="running"):
-    """A request that runs though this broker has not granted it."""
+    """A request that is running without a grant of this broker.
+
+    Attributes:
+        tokens: Prompt tokens that are still to be prefilled.
+        memory: Tokens of engine memory, without shared prompt parts.
+        output_tokens: The maximum number of output tokens.
+    """
 
     number: int
     service: str
@@ -81,7 +90,12 @@
 
 
 class PlaceGrant(msgspec.Struct, tag="grant", omit_defaults=True):
-    """The request may go to this endpoint now."""
+    """The request may be sent to this endpoint now.
+
+    Attributes:
+        fetch_from: The endpoint to fetch cached prompt parts from; "" for none.
+        tokens: Prompt tokens that the endpoint is expected to prefill.
+    """
 
     number: int
     endpoint: str
@@ -90,10 +104,12 @@
 
 
 class PlaceRefusal(msgspec.Struct, tag="refuse", omit_defaults=True):
-    """The request would be late; it has not run.
+    """The request would miss its deadline or objective; it has not run.
 
     Attributes:
-        over_ms: For so long the same would be refused again.
+        retry_after_ms: Milliseconds after which the caller may retry.
+        predicted_ms: The predicted time until the first token, in milliseconds.
+        over_ms: Milliseconds for which an equal request would be refused again.
     """
 
     number: int
@@ -103,13 +119,13 @@
 
 
 class Heartbeat(msgspec.Struct, tag="beat", omit_defaults=True):
-    """The sender is there.
+    """The sender is alive.
 
-    A broker says so all the time, a gateway while it has requests that wait
-    or are being read.
+    A broker sends heartbeats all the time, a gateway while it has requests that
+    are queued or being prefilled.
 
     Attributes:
-        is_late: The sender is short of processor.
+        is_late: The sender's event loop is late.
     """
 
     is_late: bool = False
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -1,4 +1,4 @@
-"""The broker's side: one queue for each service, one socket a gateway."""
+"""The broker side of the broker protocol: one queue for each service."""
 
 import asyncio
 import time
@@ -36,17 +36,22 @@
 
 logger = get_logger(__name__)
 
-
 GATEWAY_TIMEOUT_SECONDS = 0.3
-"""A gateway that says nothing for so long won't send soon what it is granted.
-The smallest hosts get their processor in turns, with pauses of up to 0.1 s."""
-
-
+"""A gateway from which nothing was received for so long is suspended: it gets
+no further grants until its next message. Longer than the scheduling pauses
+of a host with little CPU."""
 LOG_INTERVAL_SECONDS = 1.0
 
 
 class GatewayConnection:
-    """A gateway that asks."""
+    """A gateway that is connected to this broker.
+
+    Attributes:
+        number: Identifies the connection on this host.
+        outbox: Messages to be sent in the next frame.
+        requests: The service of each request, by the gateway's number of it.
+        liveness: Expires when the gateway sends nothing for too long.
+    """
 
     def __init__(self, number: int, socket: web.WebSocketResponse):
         self.number = number
@@ -59,16 +64,16 @@
 
     @property
     def name(self) -> str:
-        """Names it to brokers."""
+        """The name of the gateway at the brokers."""
         return str(self.number)
 
     def key(self, number: int) -> str:
-        """Names one of its requests among all gateways' requests."""
+        """Returns a request's key, unique among all gateways' requests."""
         return f"{self.number}/{number}"
 
 
 class BrokerServer:
-    """Runs a broker for each service that gateways ask this host about."""
+    """Runs the brokers of the services that gateways request places for."""
 
     def __init__(self, view: FleetView):
         self.view = view
@@ -78,7 +83,7 @@
         self.dispatch_scheduled = False
 
     async def serve(self, request: web.Request) -> web.WebSocketResponse:
-        """Serves one gateway until it goes."""
+        """Handles the WebSocket connection of a gateway until it closes."""
         socket = web.WebSocketResponse(compress=False)
         await socket.prepare(request)
         self.last_gateway_number += 1
@@ -93,7 +98,7 @@
                     self._schedule_dispatch()
         except ConnectionError as error:
             logger.info(
-                "broker_peer_lost", gateway=gateway.number, why=repr(error)
+                "broker_gateway_lost", gateway=gateway.number, why=repr(error)
             )
         finally:
             del self.gateways[gateway.number]
@@ -114,7 +119,11 @@
                 broker.suspend(gateway.name, _now())
 
     def _remove(self, gateway: GatewayConnection) -> None:
-        """Its requests have ended: its endpoints' connections are closed."""
+        """Removes the requests of a disconnected gateway.
+
+        Its connections to endpoints are closed as well, so its requests have
+        ended.
+        """
         for broker in self.brokers.values():
             broker.set_late(gateway.name, False)
         for number, service in gateway.requests.items():
@@ -125,18 +134,18 @@
 
     def _broker(self, service: str) -> Broker | None:
         table = self.view.table
-        known = table.services.get(service) if table is not None else None
-        if known is None or known.engine is None:
+        configured = table.services.get(service) if table is not None else None
+        if configured is None or configured.engine is None:
             return None
         broker = self.brokers.get(service)
         if broker is None:
             engines = len(self.view.registrations.usable(service))
             rate = estimate_prefill_rate(table.config, engines)
-            broker = Broker(known.engine, rate)
+            broker = Broker(configured.engine, rate)
             self.brokers[service] = broker
             logger.info("brokering", service=service, rate=round(rate, 1))
         usable = self.view.usable(service, set())
-        broker.set_engines(word.endpoint for word in usable)
+        broker.set_engines(registration.endpoint for registration in usable)
         return broker
 
     def _on_message(
@@ -168,9 +177,9 @@
             del gateway.requests[message.number]
 
     def _on_finished(self, broker: Broker, key: str, message: Finished) -> None:
-        flight = broker.flights.get(key)
-        if flight is not None and message.failed:
-            self.view.health_of(flight.engine).failed(time.monotonic())
+        in_flight = broker.flights.get(key)
+        if in_flight is not None and message.failed:
+            self.view.health_of(in_flight.engine).failed(time.monotonic())
         broker.ended(key)
 
     def _submit(
@@ -181,7 +190,7 @@
             gateway.outbox.append(PlaceRefusal(message.number, 0.0, 0.0))
             return
         now = _now()
-        ask = Ask(
+        placement_request = Ask(
             key=gateway.key(message.number),
             workspace=message.workspace,
             parts=message.prompt(),
@@ -192,9 +201,9 @@
             without=frozenset(message.without),
             router=gateway.name,
         )
-        refused = broker.ask(ask, now)
-        if refused is not None:
-            self._send_refusal(gateway, message.number, refused)
+        refusal = broker.ask(placement_request, now)
+        if refusal is not None:
+            self._send_refusal(gateway, message.number, refusal)
         else:
             gateway.requests[message.number] = message.service
 
@@ -204,7 +213,7 @@
         broker = self._broker(message.service)
         if broker is not None:
             gateway.requests[message.number] = message.service
-            sent = Sent(
+            unbrokered = Sent(
                 key=gateway.key(message.number),
                 endpoint=message.endpoint,
                 tokens=message.tokens,
@@ -213,18 +222,18 @@
                 output_tokens=message.output_tokens,
                 router=gateway.name,
             )
-            broker.adopt(sent, _now())
+            broker.adopt(unbrokered, _now())
 
     @staticmethod
     def _send_refusal(
-        gateway: GatewayConnection, number: int, refused: Refused
+        gateway: GatewayConnection, number: int, refusal: Refused
     ) -> None:
         gateway.outbox.append(
             PlaceRefusal(
                 number,
-                refused.retry_after_ms,
-                refused.predicted_ms,
-                refused.over_ms,
+                refusal.retry_after_ms,
+                refusal.predicted_ms,
+                refusal.over_ms,
             )
         )
 
@@ -239,24 +248,24 @@
         for service, broker in self.brokers.items():
             if self._broker(service) is None:
                 continue
-            for message in [*broker.overdue(now), *broker.pump(now)]:
-                self._notify(message)
+            for decision in [*broker.overdue(now), *broker.pump(now)]:
+                self._notify(decision)
         for gateway in self.gateways.values():
             self._flush(gateway)
 
-    def _notify(self, message: Granted | Refused) -> None:
-        gateway_number, _, text = message.key.partition("/")
+    def _notify(self, decision: Granted | Refused) -> None:
+        gateway_number, _, request_number = decision.key.partition("/")
         gateway = self.gateways.get(int(gateway_number))
         if gateway is None:
             return
-        number = int(text)
-        if isinstance(message, Refused):
+        number = int(request_number)
+        if isinstance(decision, Refused):
             gateway.requests.pop(number, None)
-            self._send_refusal(gateway, number, message)
+            self._send_refusal(gateway, number, decision)
             return
         gateway.outbox.append(
             PlaceGrant(
-                number, message.endpoint, message.fetch_from, message.tokens
+                number, decision.endpoint, decision.fetch_from, decision.tokens
             )
         )
 
@@ -269,7 +278,7 @@
             task.add_done_callback(_log_send)
 
     async def log_load_forever(self) -> None:
-        """Logs what the brokers believe, while there is something to do."""
+        """Logs the load of each broker that has requests, once a second."""
         while True:
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
             for service, broker in self.brokers.items():
@@ -285,14 +294,14 @@
                     )
 
     def wait_seconds(self) -> list[tuple[float, Labels]]:
-        """Returns what a prompt would wait at an endpoint, by service."""
+        """Returns the mean estimated wait at the engines, by service."""
         return [
             (broker.mean_wait_ms / 1000, {"service": service})
             for service, broker in self.brokers.items()
         ]
 
     def requests(self) -> list[tuple[float, Labels]]:
-        """Returns the requests that wait, are read and run, by service."""
+        """Returns the number of requests, by service and state."""
         return [
             (float(count), {"service": service, "state": state})
             for service, broker in self.brokers.items()
@@ -300,7 +309,7 @@
         ]
 
     async def send_heartbeats_forever(self) -> None:
-        """Tells gateways that this host is there, and counts their silence."""
+        """Sends heartbeats to all gateways and checks theirs."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             for gateway in self.gateways.values():
@@ -311,7 +320,7 @@
 
 def _log_send(task: asyncio.Future) -> None:
     if not task.cancelled() and task.exception() is not None:
-        logger.info("broker_answer_failed", why=repr(task.exception()))
+        logger.info("broker_reply_failed", why=repr(task.exception()))
 
 
 def _now() -> float:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/connections.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/connections.py
@@ -1,8 +1,7 @@
-"""Keeps the callers' connections within the process's descriptors.
+"""Limits the callers' connections to the available file descriptors.
 
-Callers open a connection for each retry and keep it open afterwards. In a
-rush a gateway runs out of descriptors within seconds; then it can't take the
-next connection, whose caller waits for a second or more without a word.
+In an overload callers open a connection for each retry. Without a limit the
+gateway would run out of descriptors and could accept no new connections.
 """
 
 import asyncio
@@ -15,20 +14,24 @@
 logger = get_logger(__name__)
 
 RESERVED_DESCRIPTORS = 260
-"""Descriptors for files, listening sockets and connections within the
-fleet."""
+"""Descriptors for files, listeners and connections within the fleet."""
 CALLER_SHARE = 0.6
-"""Of the rest, the part that callers may have; the others are for the
-endpoints' side, which needs one for each request that runs."""
+"""Share of the other descriptors for callers. The rest is for endpoints, which
+need one per running request."""
 CROWDED_SHARE = 0.5
-"""From this part of the callers' connections on, each is closed after its
-answer instead of being kept."""
+"""Share of the limit above which connections are closed after the response
+instead of being kept alive."""
 CHECK_SECONDS = 0.1
-"""In this time some hundred connections may come at the most."""
 
 
 class CallerConnections:
-    """Knows which connections are in use, and closes some of the others."""
+    """Tracks the connections in use and closes idle ones.
+
+    Attributes:
+        limit: The maximum number of connections.
+        listener: The listener of the callers' address, once it is open.
+        busy: The connections on which a request is being handled.
+    """
 
     def __init__(self, max_descriptors: int):
         self.limit = max(
@@ -39,22 +42,22 @@
 
     @property
     def is_crowded(self) -> bool:
-        """Whether connections should not be kept after their answer."""
+        """Whether connections are closed after the response."""
         if self.listener is None:
             return False
         return self.listener.open_connections > self.limit * CROWDED_SHARE
 
     @property
     def is_full(self) -> bool:
-        """Whether no more requests should be taken."""
+        """Whether new requests are refused."""
         return len(self.busy) > self.limit
 
     def close_idle(self) -> None:
-        """Closes all connections on which nothing is being answered."""
+        """Closes all idle connections."""
         self.listener.close_idle(self.busy)
 
     async def keep_within_limit(self) -> None:
-        """Closes the oldest idle connections while there are too many."""
+        """Closes the oldest idle connections above the limit."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             over = self.listener.open_connections - self.limit
--- a/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -1,4 +1,4 @@
-"""Follows the control hosts: one long poll to each of them."""
+"""Receives updates from the control hosts by one long poll to each."""
 
 import asyncio
 
@@ -14,19 +14,19 @@
 logger = get_logger(__name__)
 
 POLL_SECONDS = 0.8
-"""A lease counts from when it was asked for, so this much of it is gone
-when the answer comes; the rest must outlast an election (2.4 s)."""
+"""How long a control host may hold a poll. Leases count from the start of the
+poll and must outlast an election."""
 REPLY_TIMEOUT_SECONDS = 0.7
-"""Beyond the wait. A connection can fall silent without a reset; news must
-then arrive over a new one within two seconds of its acknowledgement."""
+"""Timeout beyond the poll time, for connections that stall without a reset."""
 DISCOVERY_INTERVAL_SECONDS = 0.1
 RETRY_SECONDS = 0.4
 MAX_FAILURES = 40
-"""Some 40 s of failures: a host that nobody announces any more is dropped."""
+"""Failed polls in a row after which a control host that is no longer announced
+is dropped."""
 
 
 class ControlSync:
-    """Keeps a view up to date from all control hosts that are known."""
+    """Keeps a fleet view up to date from all known control hosts."""
 
     def __init__(self, app: Application, view: FleetView):
         self.app = app
@@ -35,7 +35,7 @@
         self.polls: dict[str, asyncio.Task] = {}
 
     async def run(self) -> None:
-        """Starts polls as control hosts become known."""
+        """Starts a poll for each control host that becomes known."""
         while True:
             for address in self.target_addresses():
                 task = self.polls.get(address)
@@ -46,11 +46,11 @@
             await asyncio.sleep(DISCOVERY_INTERVAL_SECONDS)
 
     def target_addresses(self) -> set[str]:
-        """Returns the internal addresses to ask."""
+        """Returns the internal addresses of the control hosts to poll."""
         return self.view.control_addresses | set(self.settings.seed_peers())
 
     def _spare_capacity(self) -> float:
-        """Returns the cores that brokering may use; a leaving host has none."""
+        """Returns the cores available for brokering; 0 while draining."""
         if self.app.stopping.is_set() or self.view.table is None:
             return 0.0
         return self.settings.processor_cores
@@ -88,7 +88,7 @@
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             if failures:
-                logger.info("control_host_regained", address=address)
+                logger.info("control_host_reconnected", address=address)
             failures = 0
             reply = result.ok_value
             epoch, cursor = reply.epoch, reply.cursor
--- a/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to its caller: whole, or visibly cut."""
+"""Relays responses of endpoints to the caller."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,17 +12,21 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller has closed its connection."""
 
 
 class ResponseDelivery:
-    """The one answer that a caller gets, from one endpoint or several.
+    """The response to one caller, from one endpoint or several.
 
     Attributes:
-        response: Set once its head has gone out; no other answer may follow.
-        events: Cuts a stream into whole events and knows the last one.
-        first_at: Loop clock when the first bytes of the body went out.
-        longest_gap: The longest pause between two events so far, in seconds.
+        response: Set once the head has been sent; no other response may follow.
+        events: Splits a stream into complete events and knows the last ID.
+        first_at: When the first body bytes were sent, on the event loop clock
+            in seconds; 0 before.
+        bytes_sent: Body bytes sent so far.
+        written_at: When body bytes were last written, on the event loop clock
+            in seconds.
+        longest_gap: The longest time between two writes, in seconds.
     """
 
     def __init__(
@@ -39,16 +43,22 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the caller has part of an answer."""
+        """Whether part of the response has been sent."""
         return self.response is not None
 
     async def relay(
         self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.StreamResponse:
-        """Passes on an answer to its end.
+        """Relays a response to its end.
+
+        Args:
+            upstream: The response of the endpoint.
+            on_first: Called when the first complete data has arrived, possibly
+                more than once.
 
         Raises:
-            SendFailedError: The answer broke off.
+            SendFailedError: The endpoint's response broke off.
+            CallerGoneError: The caller has closed its connection.
         """
         try:
             if self.has_started or is_stream(list(upstream.headers.items())):
@@ -60,10 +70,9 @@
     async def _relay_complete(
         self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.Response:
-        """Holds a plain answer until it is complete.
+        """Buffers a plain response until it is complete.
 
-        So one that breaks off can still be run again, or be told as a
-        failure, instead of reaching the caller in part.
+        One that breaks off can then still be retried or reported as a failure.
         """
         body = await upstream.read()
         on_first()
@@ -96,8 +105,7 @@
         await self._write(events)
 
     async def _write(self, data: bytes) -> None:
-        # The library's error for a caller that left is also one of its
-        # errors for endpoints; it must not count as the endpoint's.
+        # aiohttp raises the same error when an endpoint's connection fails.
         try:
             await self.response.write(data)
         except ConnectionError as error:
@@ -136,9 +144,9 @@
         return self.response
 
     def abort(self) -> None:
-        """Ends a begun answer so that it can't be taken for a whole one.
+        """Closes the connection without the final chunk.
 
-        The connection closes without the last chunk.
+        The caller can't mistake the response for a complete one.
         """
         if self.request.transport is not None:
             self.request.transport.close()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/dialect.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Whose names callers and endpoints use on a gateway."""
+"""The header names, paths and configuration format of a gateway."""
 
 from collections.abc import Callable
 
@@ -10,21 +10,22 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """The headers that a gateway reads, sets or keeps from passing.
+    """The names of headers that a gateway reads, sets or removes.
 
     Attributes:
-        attempt: The caller's id of this attempt; endpoints echo it.
-        deadline_ms: Milliseconds that the sender will wait.
-        api_key: The key of a workspace; never passed on.
-        workspace: The workspace, told to the endpoint.
-        target: The endpoint that is meant; another one refuses.
-        not_run: An endpoint's word that it did not run the request.
-        signature: The endpoint's proof that the answer is its own.
-        prompt_parts: The parts of the prompt, as ID:TOKENS.
-        token_counts: Prompt tokens and the most output tokens.
-        last_event: The last event that the caller has.
-        fetch_from: The endpoint that keeps parts of the prompt.
-        ours: Others that only the fleet may set, in lower case.
+        attempt: The caller's ID of the attempt; endpoints echo it.
+        deadline_ms: Milliseconds that the sender waits for the response.
+        api_key: The API key of a workspace; never forwarded.
+        workspace: The workspace, set for the endpoint.
+        target: The endpoint that is addressed; another one rejects the request.
+        not_run: Set by an endpoint that did not run the request.
+        signature: The endpoint's signature of the response.
+        prompt_parts: The prompt parts, as ID:TOKENS.
+        token_counts: The number of prompt tokens and the maximum of output
+            tokens.
+        last_event: The ID of the last event that the caller has.
+        fetch_from: The endpoint to fetch cached prompt parts from.
+        fleet_only: Other headers, in lower case, that callers must not set.
     """
 
     attempt: str = "Request-Id"
@@ -42,7 +43,7 @@
 
     @property
     def not_forwarded(self) -> frozenset[str]:
-        """What a caller's header must not bring to an endpoint."""
+        """Headers of callers, in lower case, that are not forwarded."""
         return self.fleet_only | {
             self.api_key.lower(),
             self.workspace.lower(),
@@ -53,14 +54,14 @@
 
 
 class GatewayDialect(msgspec.Struct, frozen=True):
-    """How callers, endpoints and configurations are read.
+    """The conventions of callers, endpoints and configurations.
 
     Attributes:
-        headers: The names of headers.
-        decode_config: Reads a configuration that control hosts accepted.
-        ready_path: Where the balancer asks for readiness.
-        fractional_retry_after: Callers read fractions of a second in
-            `Retry-After`; the standard has whole ones.
+        headers: The header names.
+        decode_config: Decodes a configuration that the control hosts accepted.
+        ready_path: The path of the load balancer's readiness check.
+        fractional_retry_after: Whether `Retry-After` is sent with fractions of
+            a second. The standard allows whole seconds only.
     """
 
     headers: HeaderNames
@@ -73,7 +74,7 @@
 
 
 def decode_native(text: bytes) -> Result[FleetConfig, str]:
-    """Reads a configuration in our own names."""
+    """Decodes a configuration in the native format."""
     try:
         return Ok(msgspec.json.decode(text, type=FleetConfig))
     except msgspec.DecodeError as error:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/early_refusal.py
@@ -1,8 +1,7 @@
-"""Refuses requests as their bytes arrive, before they are parsed.
+"""Rejects requests before they are parsed.
 
-A gateway that is sent more than it can serve spends its processor on refusing.
-Read by its first lines alone, a refused request costs a third of what it costs
-as a parsed one, and the rest of the processor goes to those that are served.
+Rejecting a request by its raw head takes less CPU time than parsing it first,
+which leaves an overloaded gateway more for other requests.
 """
 
 import asyncio
@@ -17,12 +16,12 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """The head of a request, as it came.
+    """The raw head of a request.
 
     Attributes:
-        raw: Its bytes without the empty line.
-        folded: The same in lower case, to find header names in.
-        size: The bytes of the whole request.
+        raw: The bytes of the head without the final empty line.
+        lowered: The same bytes in lower case, to search for header names.
+        size: The size of the complete request in bytes, with its body.
     """
 
     raw: bytes
@@ -30,7 +29,7 @@
     size: int
 
     def header(self, name: bytes) -> str:
-        """Returns the value of a header that is there once, or ""."""
+        """Returns the value of a header; "" if it is missing or repeated."""
         position = self.lowered.find(b"\r\n" + name + b":")
         if (
             position < 0
@@ -44,17 +43,18 @@
 
     @property
     def path(self) -> str:
-        """The path of the request line, as it came."""
-        words = self.raw.split(b"\r\n", 1)[0].split(b" ")
-        return words[1].decode("latin-1") if len(words) == 3 else ""
+        """The target of the request line; "" if the line is malformed."""
+        fields = self.raw.split(b"\r\n", 1)[0].split(b" ")
+        return fields[1].decode("latin-1") if len(fields) == 3 else ""
 
 
 def parse_head(data: bytes) -> RequestHead | None:
-    """Returns the head that some bytes begin with.
+    """Returns the request head at the beginning of some bytes.
 
-    None where it is not whole, or anything about the size of the request is
-    unusual: two readers that disagree on where a request ends would let one
-    caller smuggle a request into another's place. The library decides then.
+    Returns None if the head is incomplete or the size of the request is not
+    given by a single plain Content-Length. Parsers may disagree on where such a
+    request ends, which would allow request smuggling, so it is left to the HTTP
+    library.
     """
     end = data.find(HEAD_END)
     if end < 0:
@@ -83,7 +83,7 @@
 
 
 def response_bytes(response: web.Response) -> bytes:
-    """Returns a response as it goes over the wire."""
+    """Returns the serialized form of a response."""
     lines = [f"HTTP/1.1 {response.status} {response.reason}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     lines.append(f"Content-Length: {len(response.body)}")
@@ -91,14 +91,23 @@
 
 
 RefusalCheck = Callable[[RequestHead], bytes | None]
-"""Returns the whole response to a request that is refused."""
+"""Returns the complete response to a rejected request, or None."""
 
 
 class EarlyRefusal(asyncio.Protocol):
-    """Stands before the protocol of a connection.
+    """Filters the bytes of a connection in front of its HTTP protocol.
 
-    Only a request that begins where the one before has been answered is
-    looked at; all other bytes go to the protocol behind as they are.
+    Only a request that starts after the previous one has been answered is
+    examined. All other bytes are forwarded unchanged.
+
+    Attributes:
+        inner: The HTTP protocol of the connection.
+        is_idle: Tells whether the HTTP protocol is waiting for a request.
+        is_needed: Tells whether requests are to be checked.
+        check: Returns the response to a request that is rejected.
+        missing_bytes: Bytes of the current request still to be received; None
+            if unknown, which disables the filter for this connection.
+        response: The response to the current request if it is rejected.
     """
 
     def __init__(
@@ -113,42 +122,40 @@
         self.is_needed = is_needed
         self.check = check
         self.transport: asyncio.Transport | None = None
-        # Bytes of the present request that are still to come; None if that
-        # is not known, and the connection is left to the protocol behind.
         self.missing_bytes: int | None = 0
         self.response: bytes | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller has connected."""
+        """Called when the connection is established."""
         self.transport = transport
         self.inner.connection_made(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Called when the connection is closed."""
         self.inner.connection_lost(exc)
 
     def pause_writing(self) -> None:
-        """The caller does not read."""
+        """Called when the transport's buffer is full."""
         self.inner.pause_writing()
 
     def resume_writing(self) -> None:
-        """The caller reads again."""
+        """Called when the transport's buffer has drained."""
         self.inner.resume_writing()
 
     def eof_received(self) -> bool | None:
-        """The caller will send no more."""
+        """Called when the caller has closed its sending side."""
         return self.inner.eof_received()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Called when data is received."""
         if self.response is not None:
             self._discard(data)
             return
         if self.missing_bytes == 0:
             self._start_request(data)
         elif self.missing_bytes is not None:
-            left = self.missing_bytes - len(data)
-            self.missing_bytes = left if left >= 0 else None
+            remaining = self.missing_bytes - len(data)
+            self.missing_bytes = remaining if remaining >= 0 else None
         if self.response is None:
             self.inner.data_received(data)
         elif self.missing_bytes == 0:
@@ -164,7 +171,7 @@
             self.response = self.check(head)
 
     def _discard(self, data: bytes) -> None:
-        """Drops the rest of a refused request; what follows is the next."""
+        """Discards the rest of a rejected request; processes what follows."""
         rest = data[self.missing_bytes :]
         self.missing_bytes = max(0, self.missing_bytes - len(data))
         if self.missing_bytes == 0:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/engine_load.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/engine_load.py
@@ -1,4 +1,4 @@
-"""What this gateway has in flight at each endpoint, and how fast it goes."""
+"""Tracks this gateway's requests in flight at each engine."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -7,14 +7,14 @@
 from marjoramyard.coordination.routing.config import FleetConfig
 
 PREFILL_RATE_FACTOR = 1.8
-"""How much faster an engine reads prompts alone than the configured overall
-rate of tokens says, which counts written ones too."""
+"""Ratio of the prefill rate to the configured token rate, which includes output
+tokens."""
 DEFAULT_PREFILL_RATE = 50.0
-"""Prompt tokens a millisecond where the configuration names no rate."""
+"""Tokens per millisecond if the configuration sets no rate."""
 
 
 def estimate_prefill_rate(config: FleetConfig, engines: int) -> float:
-    """Estimates the prompt tokens that one engine reads in a millisecond."""
+    """Estimates the prefill rate of an engine, in tokens per millisecond."""
     total = config.limits.tokens_per_s
     if total <= 0 or engines <= 0:
         return DEFAULT_PREFILL_RATE
@@ -22,14 +22,19 @@
 
 
 class EngineLoads:
-    """Requests in flight, by endpoint."""
+    """The gateway's requests in flight, by engine.
+
+    Attributes:
+        rate: The estimated prefill rate of an engine, in tokens per
+            millisecond.
+    """
 
     def __init__(self):
         self.engines: dict[str, EngineView] = {}
         self.rate = DEFAULT_PREFILL_RATE
 
     def load_of(self, endpoint: str) -> EngineView:
-        """Returns what is in flight at an endpoint."""
+        """Returns the load of an endpoint."""
         engine = self.engines.setdefault(endpoint, EngineView(endpoint))
         engine.rate = self.rate
         return engine
@@ -47,7 +52,12 @@
 
 
 class LocalRequest:
-    """One request at an endpoint."""
+    """A request of this gateway at an endpoint.
+
+    Attributes:
+        tokens: Prompt tokens that are still to be prefilled.
+        on_prefilled: Called once when the first token arrives.
+    """
 
     def __init__(self, engine: EngineView, tokens: float):
         self.engine = engine
@@ -57,7 +67,7 @@
         engine.reading_tokens += tokens
 
     def finish_prefill(self) -> None:
-        """Its prompt has been read: the first token is there."""
+        """Records that the first token has arrived."""
         self.engine.reading_tokens -= self.tokens
         self.tokens = 0.0
         if self.on_prefilled is not None:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/events.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/events.py
@@ -1,13 +1,17 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 _END = b"\n\n"
 
 
 class EventSplitter:
-    """Collects bytes and hands out whole events.
+    """Buffers bytes and returns complete events.
 
-    An endpoint may break off in the middle of an event. A caller that was
-    given half of it could not join the rest from another endpoint.
+    A stream that breaks off in the middle of an event can't be resumed there at
+    another endpoint, so partial events are not forwarded.
+
+    Attributes:
+        buffer: The bytes of an incomplete event.
+        last_id: The ID of the last complete event that has one.
     """
 
     def __init__(self):
@@ -15,7 +19,7 @@
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the bytes of all events that are whole now."""
+        """Adds data; returns the bytes of all events that are now complete."""
         self.buffer += data
         end = self.buffer.rfind(_END)
         if end < 0:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
@@ -1,10 +1,10 @@
-"""Limits how many prompts a gateway serves at once, by its own lateness.
+"""Limits the number of prompts in service by the latency of the event loop.
 
-One workspace can send a gateway more than its processor handles. Taken in,
-all of that waits in the event loop, and the answers of every caller there are
-late. So the gateway learns how many prompts it can serve at once and refuses
-more when they arrive, which costs little. While one workspace brings most of
-them it also asks the balancer to send new connections to other gateways.
+Requests beyond the CPU capacity of a gateway would queue in its event loop and
+delay the responses of all callers. The limit adapts to the measured latency;
+prompts above it are refused on arrival. While one workspace causes most of the
+load, the gateway also reports that it is not ready, so that the load balancer
+directs new connections to other gateways.
 """
 
 import time
@@ -16,27 +16,35 @@
 from marjoramyard.kernel.errors import Failure, FleetError, Kind, failure
 
 LATE_SECONDS = 0.2
-"""The loop's lateness above which fewer prompts are served at once."""
+"""Event loop latency above which the limit is decreased."""
 MIN_LIMIT = 16.0
-"""So many the smallest host serves; a single late moment, such as a new
-configuration brings, is no flood."""
+"""Lower bound of the limit, which the smallest hosts can serve."""
 DECREASE_FACTOR = 0.7
 INCREASE_STEP = 1.0
-"""Added at each wake-up in time while the limit is in use."""
+"""Added to the limit at each punctual wake-up while it is in use."""
 IN_USE_SHARE = 0.8
-"""A limit of which less is in use says nothing of what could be served."""
+"""Share of the limit that must be in use for it to increase."""
 DOMINANT_SHARE = 0.5
-"""Of the prompts in service. Where all workspaces bring too much, other
-gateways have no room either."""
+"""Share of the prompts in service above which a workspace is dominant. If the
+load is spread over all workspaces, other gateways are overloaded too."""
 UNREADY_SECONDS = 3.0
-"""The balancer asks for readiness once a second and believes two misses."""
+"""Long enough for the load balancer to miss two readiness checks."""
 OVERLOAD_RETRY_SECONDS = 1.5
-"""Floods last for seconds, and most callers' next connection reaches the same
-gateway; back sooner, they would be refused again and have no further try."""
+"""Mean `Retry-After` of refused prompts. Sooner retries would mostly reach the
+same overloaded gateway."""
 
 
 class ConcurrencyLimit:
-    """How many prompts may be in service here, in all and by workspace."""
+    """Adaptive limit on prompts in service, in total and by workspace.
+
+    Attributes:
+        limit: The maximum number of prompts in service.
+        active: Prompts in service by workspace.
+        total: Prompts in service.
+        overloaded_by_one_until: When the gateway becomes ready again, on the
+            monotonic clock in seconds.
+        refused: Refused prompts by workspace since the last report.
+    """
 
     def __init__(self):
         self.limit = float("inf")
@@ -47,7 +55,7 @@
 
     @property
     def is_overloaded_by_one(self) -> bool:
-        """Whether one workspace has brought too much of late."""
+        """Whether one workspace has recently overloaded this gateway."""
         return time.monotonic() < self.overloaded_by_one_until
 
     def _has_dominant_workspace(self) -> bool:
@@ -55,37 +63,40 @@
         return self.total >= MIN_LIMIT and largest > self.total * DOMINANT_SHARE
 
     def on_wake_up(self, late_seconds: float) -> None:
-        """Adapts the limit; called at each measured wake-up of the loop."""
+        """Adapts the limit to the latency of the event loop.
+
+        Args:
+            late_seconds: How late a scheduled wake-up of the loop was.
+        """
         if late_seconds > LATE_SECONDS and self._has_dominant_workspace():
             self.overloaded_by_one_until = time.monotonic() + UNREADY_SECONDS
         if late_seconds > LATE_SECONDS:
-            reached = min(self.limit, float(self.total))
-            self.limit = max(MIN_LIMIT, reached * DECREASE_FACTOR)
+            served = min(self.limit, float(self.total))
+            self.limit = max(MIN_LIMIT, served * DECREASE_FACTOR)
         elif self.total >= self.limit * IN_USE_SHARE:
             self.limit += INCREASE_STEP
 
     @property
     def is_reached(self) -> bool:
-        """Whether some are refused."""
+        """Whether prompts may be refused."""
         return self.total >= self.limit
 
     def admits(self, workspace: str) -> bool:
         """Whether another prompt of a workspace may be served now.
 
-        One that has less than an even share of the limit always may: it is
-        not the one that brings too much.
+        A workspace below an even share of the limit is always admitted.
         """
         if not self.is_reached:
             return True
-        others = len(self.active) + (workspace not in self.active)
-        return self.active[workspace] < self.limit / others
+        workspace_count = len(self.active) + (workspace not in self.active)
+        return self.active[workspace] < self.limit / workspace_count
 
     @contextmanager
     def admit(self, workspace: str) -> Iterator[None]:
         """Counts a prompt while it is in service.
 
         Raises:
-            FleetError: There are too many; it has not run.
+            FleetError: The limit is reached; the prompt has not run.
         """
         if not self.admits(workspace):
             raise FleetError(self.refuse(workspace))
@@ -100,15 +111,15 @@
                 del self.active[workspace]
 
     def refuse(self, workspace: str) -> Failure:
-        """Counts a refused request, and returns what its caller is told."""
+        """Counts a refused prompt and returns the failure for its caller."""
         self.refused[workspace] += 1
         return failure(
             Kind.OVERLOADED,
-            "this gateway has too many requests; come back later",
+            "this gateway is overloaded; retry later",
             retry_after=jitter(OVERLOAD_RETRY_SECONDS),
         )
 
     def pop_refused_counts(self) -> Counter[str]:
-        """Returns how many were refused since the last call, by workspace."""
+        """Returns the refused prompts since the last call, by workspace."""
         refused, self.refused = self.refused, Counter()
         return refused
--- a/packages/fleet/src/marjoramyard/fleet/gateway/refusal_cache.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/refusal_cache.py
@@ -1,36 +1,33 @@
-"""Refuses at once what the broker has just refused of the same kind."""
+"""Caches refusals of the broker."""
 
 import time
 
 from marjoramyard.fleet.gateway.broker_protocol import PlaceRefusal
 
 MAX_CACHED_SECONDS = 0.1
-"""However long the line is: a workspace's line can also empty at once, when
-its callers leave."""
+"""Upper limit, since a queue also shortens when callers disconnect."""
 
 
 class RefusalCache:
-    """Which lines are known to be too long, and until when.
+    """Refusals of the broker that still hold, by workspace and route.
 
-    One workspace can bring a gateway hundreds of requests a second that are
-    all refused. Asking the broker for each costs processor here and there; a
-    small host runs out of it, and its other callers' answers are late too. A
-    line gets shorter by a millisecond each millisecond at the most, so until
-    then the broker's answer is known.
+    Submitting hundreds of requests per second that are all refused would use up
+    the CPU of a small host. A queue shortens by at most one millisecond per
+    millisecond, so the same refusal holds until then.
     """
 
     def __init__(self):
         self.refusals: dict[tuple[str, str], tuple[float, PlaceRefusal]] = {}
 
     def add(self, workspace: str, route: str, refusal: PlaceRefusal) -> None:
-        """Remembers a refusal by the broker."""
+        """Caches a refusal of the broker for as long as it holds."""
         held_seconds = min(refusal.over_ms / 1000, MAX_CACHED_SECONDS)
         if held_seconds > 0:
             until = time.monotonic() + held_seconds
             self.refusals[workspace, route] = (until, refusal)
 
     def find(self, workspace: str, route: str) -> PlaceRefusal | None:
-        """Returns the refusal that still holds, if there is one."""
+        """Returns the cached refusal that still holds, or None."""
         found = self.refusals.get((workspace, route))
         if found is None:
             return None
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves a caller's request: chooses, sends, repeats, answers."""
+"""Handles callers' requests from admission to the response."""
 
 import asyncio
 import random
@@ -45,15 +45,27 @@
 logger = get_logger(__name__)
 
 RETRY_SLACK_SHARE = 0.8
-"""How much of the fleet's retry slack is given out; the rest covers
-gateways that restart and so get their part twice within a window."""
+"""Share of the fleet's retry slack that is distributed. The rest covers
+restarted gateways, which get their part twice within a window."""
 LOG_INTERVAL_SECONDS = 1.0
 LEAVING_RETRY_SECONDS = 0.05
-"""The caller's next connection reaches another gateway."""
+"""`Retry-After` while draining; the next connection reaches another gateway."""
 
 
 class RequestHandler:
-    """Serves requests with what the gateway knows of the fleet."""
+    """Handles requests of callers.
+
+    Attributes:
+        closes_connections: Whether to close connections after the response.
+        is_full: Whether too many connections are in use.
+        stops_at: When a draining gateway exits, on the event loop clock in
+            seconds.
+        is_refusing: Whether all requests are refused because of draining.
+        limit: The limit on prompts in service.
+        budgets: The retry budgets by service.
+        active_count: Requests in progress.
+        started_count: All requests so far.
+    """
 
     def __init__(
         self,
@@ -80,7 +92,7 @@
         self.started_count = 0
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Serves one request of a caller."""
+        """Handles one request of a caller."""
         self.active_count += 1
         self.started_count += 1
         delivery = ResponseDelivery(request, self.closes_connections)
@@ -114,7 +126,7 @@
             )
 
     def refuse_early(self, head: RequestHead) -> bytes | None:
-        """Returns the response to a prompt beyond the limit."""
+        """Returns the response to a prompt beyond the limit, else None."""
         table = self.view.table
         if table is None or "%" in head.path or not self.view.has_valid_lease():
             return None
@@ -145,14 +157,14 @@
     def _within_limit(
         self, admitted: AdmittedRequest
     ) -> AbstractContextManager[None]:
-        """Counts a prompt against the limit; others are served in no time."""
+        """Counts prompts against the limit; other requests are exempt."""
         if not self._needs_engine(admitted.route):
             return nullcontext()
         workspace = admitted.workspace
         return self.limit.admit(workspace.name if workspace else "")
 
     async def log_overload_forever(self) -> None:
-        """Logs what was refused for want of processor here."""
+        """Logs the prompts that were refused by the limit, once a second."""
         while True:
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
             refused = self.limit.pop_refused_counts()
@@ -166,30 +178,30 @@
                 )
 
     def _refuse_if_unable(self) -> None:
-        """Refuses what can't be seen through here, before it is read."""
+        """Refuses requests while draining or out of connections."""
         if self.is_refusing:
             raise_failure(
                 Kind.LEAVING,
-                "this gateway is shutting down; send it to another one",
+                "this gateway is shutting down; use another one",
                 retry_after=LEAVING_RETRY_SECONDS,
             )
         if self.is_full():
             raise_failure(
                 Kind.BUSY,
-                "this gateway has too many requests; send it to another one",
+                "this gateway has too many connections; use another one",
                 retry_after=jitter(BUSY_RETRY_SECONDS),
             )
 
     def _refuse_if_outlasting_shutdown(self, caller: CallerRequest) -> None:
-        """Refuses, while leaving, what might not end before the process.
+        """Refuses, while draining, requests that may outlast the process.
 
-        A long stream that is taken after SIGTERM would be cut at the end of
-        the grace; refused at once, it begins elsewhere within a round trip.
+        A long stream would be cut off at the end of the grace period; refused
+        at once, it starts on another gateway.
         """
         if caller.deadline_at > self.stops_at:
             raise_failure(
                 Kind.LEAVING,
-                "this gateway ends too soon for it; send it to another one",
+                "this gateway shuts down before the deadline; use another one",
                 retry_after=LEAVING_RETRY_SECONDS,
             )
 
@@ -207,7 +219,7 @@
         kind = caller.route.request_kind.value if caller else "none"
         self.metrics.count("requests", outcome=outcome, kind=kind)
         if outcome == Kind.OVERLOADED.code:
-            # Their lines would take more processor than refusing them.
+            # Logging each refused request would add to the overload.
             return
         self.metrics.observe("request_seconds", now - began, kind=kind)
         logger.info(
@@ -232,7 +244,7 @@
             longest_gap_ms=round(delivery.longest_gap * 1000),
             total_ms=round((now - began) * 1000),
             prompt_tokens=sum(p.tokens for p in caller.parts) if caller else 0,
-            read_tokens=round(trace.read_tokens),
+            read_tokens=round(trace.prefill_tokens),
             missed=_missed_objective(caller, delivery, began),
         )
 
@@ -270,7 +282,7 @@
 def _missed_objective(
     caller: CallerRequest | None, delivery: ResponseDelivery, began: float
 ) -> str | None:
-    """Names the objective that an answer missed, for its log line."""
+    """Returns the objective that a response missed: first, gap or None."""
     if caller is None or not delivery.first_at:
         return None
     first_ms = (delivery.first_at - began) * 1000
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -1,4 +1,4 @@
-"""One request's way: where it is sent, what a failed send means."""
+"""Runs one request: placement, sends, and retries after failed sends."""
 
 import random
 import time
@@ -49,23 +49,23 @@
 from marjoramyard.kernel.metrics import Metrics
 
 BUSY_RETRY_SECONDS = 0.4
-"""Where all endpoints are full: some requests' worth of reading."""
+"""`Retry-After` when no endpoint has capacity, before jitter."""
 MAX_CONNECT_ATTEMPTS = 4
-"""Each takes half a second at the most; a caller's patience is seconds."""
+"""Connection attempts per request, each to another endpoint if there is one."""
 MIN_RETRY_SECONDS = 0.15
-"""A caller that is refused comes back no sooner than this."""
+"""Lower bound of the `Retry-After` of a late request, before jitter."""
 
 
 class RequestRunContext(msgspec.Struct, frozen=True):
-    """What all runs of a gateway share.
+    """State that all request runs of a gateway share.
 
     Attributes:
-        view: What is known of the fleet.
-        session: Connections to endpoints.
-        brokers: Links to the services' brokers.
-        loads: What this gateway has in flight.
-        names: The headers' names.
-        metrics: The instruments of the process.
+        view: The gateway's view of the fleet.
+        session: The HTTP session for requests to endpoints.
+        brokers: The clients of the services' brokers.
+        loads: The requests that this gateway has in flight at each engine.
+        names: The header names of the dialect.
+        metrics: The metrics of the process.
     """
 
     view: FleetView
@@ -77,7 +77,17 @@
 
 
 class RequestRun:
-    """The sends of one request until it has its answer."""
+    """Sends one request, with retries, until it has a response or fails.
+
+    Attributes:
+        tried: Endpoints that the request was sent to or whose grant it
+            returned.
+        sends: Failed sends that may have reached an endpoint.
+        connect_failures: Failed sends of which no byte reached an endpoint.
+        may_have_run: Whether an endpoint may have run the request.
+        may_have_run_before: The value of `may_have_run` before the current
+            send.
+    """
 
     def __init__(
         self,
@@ -102,10 +112,11 @@
         self.may_have_run_before = False
 
     async def run_to_completion(self) -> web.StreamResponse:
-        """Sends until there is an answer or nothing more may be tried.
+        """Sends the request until it has a response or may not be sent again.
 
         Raises:
-            FleetError: There is none; says whether the request has run.
+            FleetError: There is no response; the outcome says whether the
+                request may have run.
         """
         while True:
             candidates = self._candidates()
@@ -160,8 +171,7 @@
             registration is None
             or registration.state is not EndpointState.READY
         ):
-            # The broker has not heard yet that it leaves. The request goes
-            # elsewhere: a leaving endpoint gets no new work.
+            # The broker does not know yet that the endpoint is draining.
             self.context.brokers.client_for(self.service.name).return_grant(
                 broker_number
             )
@@ -183,15 +193,18 @@
         seconds = max(reply.retry_after_ms / 1000, MIN_RETRY_SECONDS)
         return failure(
             Kind.BUSY,
-            "its answer would come too late; come back when the rush is over",
+            "the response would miss its objective; retry after the overload",
             retry_after=jitter(seconds),
         )
 
     def _recheck_key(self) -> None:
-        """Checks the lease once more, right before the send.
+        """Checks the key and the lease again right before the send.
 
-        Between admission and here the host may have been frozen, and the
-        key taken away meanwhile.
+        The process may have been suspended since admission, and the key revoked
+        meanwhile.
+
+        Raises:
+            FleetError: The key is no longer valid or the lease has expired.
         """
         if self.caller.workspace is None:
             return
@@ -203,8 +216,7 @@
             raise FleetError(
                 failure(
                     kind,
-                    "the key can't be confirmed any more; come back in a "
-                    "moment",
+                    "the key can no longer be verified; retry shortly",
                     self._outcome(),
                     BUSY_RETRY_SECONDS,
                 )
@@ -223,7 +235,7 @@
     def _plan_locally(
         self, candidates: list[Registration], broker_number: int
     ) -> SendPlan:
-        """Places a prompt by what this gateway has in flight itself."""
+        """Places a prompt by this gateway's own requests in flight."""
         loads = self.context.loads
         loads.rate = estimate_prefill_rate(
             self.view.table.config, len(candidates)
@@ -284,7 +296,7 @@
 
     @contextmanager
     def _track(self, plan: SendPlan) -> Iterator[LocalRequest]:
-        """Counts a send here, and with the broker, while it lasts."""
+        """Counts a send in the local load and at the broker while it lasts."""
         endpoint = plan.endpoint.endpoint
         client = None
         failed = False
@@ -317,17 +329,17 @@
                 client.on_finished(plan.broker_number, failed)
 
     def _is_endpoint_fault(self, error: SendFailedError) -> bool:
-        """Whether a failed send says something of the endpoint's health.
+        """Whether a failed send counts against the endpoint's health.
 
-        Where the event loop is late, a connection that was there in time is
-        found to have timed out.
+        A connect timeout does not count while the event loop is late: the
+        connection may have been established in time.
         """
         if error.timed_out and self.context.brokers.lag.is_late:
             return False
         return error.outcome in (SendOutcome.NOT_SENT, SendOutcome.BROKEN)
 
     def _may_retry(self) -> bool:
-        """Whether a further send would be allowed, without taking it."""
+        """Whether another send is allowed; spends no retry budget."""
         return (
             self.caller.may_repeat
             and self.sends + 1 < self.caller.route.max_attempts
@@ -335,10 +347,10 @@
         )
 
     def _on_send_failed(self, plan: SendPlan, error: SendFailedError) -> None:
-        """Decides what a failed send means.
+        """Records a failed send and decides whether the request is sent again.
 
         Raises:
-            FleetError: It was the last one.
+            FleetError: The request must not be sent again.
         """
         self.trace.sends[-1] += f" {error.outcome.value}: {error.reason[:80]}"
         now = time.monotonic()
@@ -370,13 +382,13 @@
         if self.may_have_run:
             return failure(
                 Kind.ENDPOINT_LOST,
-                "the endpoint was lost while it ran and no other is there; "
-                "look before you send it again",
+                "the endpoint was lost while the request ran, and no other is "
+                "available; check the result before sending it again",
                 Outcome.UNKNOWN,
             )
         return failure(
             Kind.NO_ENDPOINT,
-            "no endpoint takes work now; come back in a moment",
+            "no endpoint accepts requests now; retry shortly",
             retry_after=jitter(BUSY_RETRY_SECONDS),
         )
 
@@ -384,27 +396,27 @@
         if self.may_have_run:
             return failure(
                 Kind.ENDPOINT_LOST,
-                f"the endpoint gave no whole answer ({error.reason}); it may "
-                "have run",
+                f"no complete response from the endpoint ({error.reason}); the "
+                "request may have run",
                 Outcome.UNKNOWN,
             )
         wait_seconds = error.retry_after or BUSY_RETRY_SECONDS
         return failure(
             Kind.BUSY,
-            "all endpoints that could be asked are full; come back later",
+            "all available endpoints are at capacity; retry later",
             retry_after=jitter(wait_seconds),
         )
 
     def deadline_failure(self) -> Failure:
-        """Returns the final answer where the time is over."""
+        """Returns the failure of a request whose deadline has passed."""
         if self.may_have_run:
             return failure(
                 Kind.DEADLINE,
-                "no answer within the time allowed; it may have run",
+                "no response before the deadline; the request may have run",
                 Outcome.UNKNOWN,
             )
         return failure(
             Kind.BUSY,
-            "its time ran out before it could be sent; it has not run",
+            "the deadline passed before the request was sent; it has not run",
             retry_after=jitter(BUSY_RETRY_SECONDS),
         )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_trace.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_trace.py
@@ -1,4 +1,4 @@
-"""What is logged of a request."""
+"""The record of a request for its log line."""
 
 from enum import Enum
 
@@ -6,15 +6,23 @@
 
 
 class PlacedBy(Enum):
-    """Who chose the endpoint of a send."""
+    """What chose the endpoint of a send."""
 
     BROKER = "broker"
     GATEWAY = "gateway"
-    """No broker answered."""
+    """The gateway itself, because no broker replied."""
 
 
 class RequestTrace(msgspec.Struct):
-    """What is logged of a request, as it unfolds."""
+    """What happened to a request.
+
+    Attributes:
+        sends: The endpoint of each send, with the outcome if it failed.
+        placed_by: What chose the endpoint of the last placed send.
+        wait_ms: Milliseconds spent waiting for the broker.
+        prefill_tokens: Prompt tokens that the sends were expected to prefill.
+        predicted_ms: The broker's prediction for a refused request.
+    """
 
     sends: list[str] = []
     placed_by: PlacedBy | None = None
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway role: its services and its parts wired together."""
+"""The gateway role: sets up and runs the parts of a gateway."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -25,23 +25,27 @@
 logger = get_logger(__name__)
 
 LEASE_MARGIN_SECONDS = 0.5
-"""Taken off the time after which a lost key must be refused: a request that
-was admitted at the end of a lease still has to reach its endpoint."""
+"""Subtracted from the time within which a revoked key must be refused. Covers
+the time from admission until the request reaches its endpoint."""
 BALANCER_NOTICE_SECONDS = 2.6
-"""The balancer asks for readiness once a second and believes two misses."""
+"""Time for the load balancer to miss two readiness checks."""
 EXIT_MARGIN_SECONDS = 0.8
-"""Kept of the grace for closing what is left, before the kill comes."""
+"""Part of the grace period that is kept for closing connections."""
 IDLE_SECONDS = 16.0
-"""Callers reuse connections that have been idle for up to 12 s; a close
-must not cross a request."""
+"""Keep-alive timeout. Longer than callers keep idle connections, so that the
+gateway does not close one on which a request is being sent."""
 QUIET_POLLS = 6
-"""In so many wake-ups in a row nothing must have come before the process ends.
-Counted by the clock, a late gateway would end while requests lie unread."""
+"""Consecutive polls without a request after which draining ends. Polls are
+counted because a late event loop may have unread requests."""
 _DRAIN_POLL_SECONDS = 0.05
 
 
 class GatewayRole:
-    """Answers callers as long as it may."""
+    """Serves callers, and drains before the process exits.
+
+    Attributes:
+        connections: The connections of callers.
+    """
 
     def __init__(self, app: Application, view: FleetView, handler):
         self.app = app
@@ -53,11 +57,11 @@
         handler.is_full = lambda: self.connections.is_full
 
     def is_ready(self) -> bool:
-        """A gateway is ready once it knows a configuration in force."""
+        """Whether there is a configuration and the lease is valid."""
         return self.view.table is not None and self.view.has_valid_lease()
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Serves a caller; while draining, ends the connection after it."""
+        """Handles a request; closes the connection after it while draining."""
         busy = self.connections.busy
         busy.add(request.protocol)
         try:
@@ -71,7 +75,7 @@
     def wrap_connection(
         self, inner: asyncio.Protocol, is_idle: Callable[[], bool]
     ) -> asyncio.Protocol:
-        """Puts early refusals before a caller's connection."""
+        """Adds early refusal to a caller's connection."""
         return EarlyRefusal(
             inner,
             is_idle,
@@ -84,11 +88,11 @@
         return reached and not self.closes_connections()
 
     def closes_connections(self) -> bool:
-        """Whether a connection is to be closed after its answer."""
+        """Whether connections are closed after the response."""
         return self.app.stopping.is_set() or self.connections.is_crowded
 
     async def readyz(self, _: web.Request) -> web.Response:
-        """Tells the balancer whether to send new connections."""
+        """Answers the load balancer's readiness check."""
         ready = (
             self.is_ready()
             and not self.app.stopping.is_set()
@@ -97,12 +101,11 @@
         return web.Response(status=200 if ready else 503)
 
     async def drain(self) -> None:
-        """Lets the balancer notice, then lets what runs end.
+        """Stops accepting requests and waits for those in progress.
 
-        A connection that is kept open would go on bringing requests until
-        the kill, which would cut them; so idle ones are closed once no new
-        ones come. Where most of a zone's gateways leave together the
-        balancer sends new ones all the same: they are told to go elsewhere.
+        The readiness check fails first. After the load balancer has had time to
+        notice, new requests are refused and idle connections closed: kept open,
+        they would bring requests until the process is killed.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -131,7 +134,7 @@
 
 @asynccontextmanager
 async def gateway_role(app: Application) -> AsyncIterator[GatewayRole]:
-    """Runs a gateway."""
+    """Runs the gateway role."""
     settings = app.settings
     dialect = GATEWAY_DIALECTS.get(settings.dialect)
     lease_seconds = settings.revoke_ms / 1000 - LEASE_MARGIN_SECONDS
@@ -175,5 +178,5 @@
 
 
 def setup(app: Application) -> None:
-    """Registers the role."""
+    """Registers the gateway role."""
     app.add_role("gateway", gateway_role)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, on which nobody else's bytes are taken."""
+"""The HTTP session for requests to endpoints."""
 
 import functools
 from collections.abc import AsyncIterator
@@ -8,32 +8,31 @@
 from aiohttp.client_proto import ResponseHandler
 
 IDLE_SECONDS = 3.0
-"""Endpoints close idle connections, some sooner than they say. A request
-that meets the close can't be told from one that ran, so connections are
-given up before that."""
+"""Keep-alive timeout. Shorter than that of endpoints: a request that meets a
+close can't be told from one that ran."""
 CONNECT_SECONDS = 0.5
-"""An endpoint that takes longer is down or full, and the request has not run,
-so another may have it."""
+"""Connect timeout. After it the request has not run and may be sent to another
+endpoint."""
 _READ_BYTES = 1 << 16
 
 
 class StrictHandler(ResponseHandler):
-    """A connection that is given up once anything about it is odd."""
+    """A connection that is not reused after any irregularity."""
 
     def is_connected(self) -> bool:
-        """Whether the connection may carry another request.
+        """Whether the connection may be reused.
 
-        A faulty endpoint sends bytes after a complete answer, and they may
-        arrive while the connection waits in the pool. The next caller would
-        get them as its own answer.
+        A faulty endpoint may send bytes after a complete response. They can
+        arrive while the connection is in the pool and would be taken for the
+        response to the next request.
         """
         return super().is_connected() and not self.should_close
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Marks an answer without a length as cut if it ended in a reset.
+        """Fails a response without a length if its connection was reset.
 
-        Such an answer ends with its connection, so the library takes any
-        end of it for a good one; only a clean close is.
+        Such a response ends with its connection; the library accepts any end of
+        it as complete.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
@@ -44,17 +43,17 @@
 
 
 class StrictConnector(aiohttp.TCPConnector):
-    """Makes `StrictHandler`s."""
+    """Creates `StrictHandler` connections."""
 
     def __init__(self, **options):
         super().__init__(**options)
-        # The library has no public way to name another handler.
+        # aiohttp has no public parameter for the handler class.
         self._factory = functools.partial(StrictHandler, loop=self._loop)
 
 
 @asynccontextmanager
 async def open_endpoint_session() -> AsyncIterator[aiohttp.ClientSession]:
-    """Owns the connections to endpoints."""
+    """Opens the HTTP session for requests to endpoints."""
     session = aiohttp.ClientSession(
         connector=StrictConnector(
             limit=0,
@@ -74,8 +73,8 @@
             "Content-Type",
         ),
     )
-    # The library sends a GET anew by itself if a kept connection breaks.
-    # That would be a second run that no budget and no attempt counts.
+    # aiohttp would resend idempotent requests when a reused connection breaks,
+    # bypassing the retry budget.
     session._retry_connection = False
     try:
         yield session
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the fleet, and until when."""
+"""A gateway's view of the fleet, as reported by the control hosts."""
 
 import time
 from collections.abc import Callable
@@ -22,14 +22,24 @@
 logger = get_logger(__name__)
 
 REPORT_VALID_SECONDS = 3.0
-"""How long a control host's list of silent endpoints counts."""
+"""How long a control host's list of unresponsive endpoints is valid."""
 RECENT_SUCCESS_SECONDS = 1.5
-"""An endpoint that answered so lately is alive, whatever its heartbeats
-say: it may be cut off from the control hosts only."""
+"""An endpoint that succeeded so recently counts as alive even if its heartbeats
+are missing: it may be unable to reach the control hosts only."""
 
 
 class FleetView:
-    """Configuration, lease, endpoints and their health."""
+    """The configuration, the lease, the endpoints and their health.
+
+    Attributes:
+        lease: The lease within which API keys may be accepted.
+        table: The routes of the configuration in force; None before the first.
+        health: The health of each endpoint, as seen by this gateway.
+        unresponsive_reports: By control host, when it last reported and the
+            endpoints whose heartbeats it misses.
+        gateway_count: The number of gateways in the fleet.
+        on_config: Called after a new configuration has come into force.
+    """
 
     def __init__(self, dialect: GatewayDialect, lease_seconds: float):
         self.dialect = dialect
@@ -45,19 +55,20 @@
 
     @property
     def version(self) -> int:
-        """The version of the configuration in force here; 0 for none."""
+        """The version of the configuration in force; 0 for none."""
         return self.table.version if self.table is not None else 0
 
     def broker_of(self, service: str) -> str:
         """Returns the address of a service's broker; "" for none.
 
-        Services with engines take turns over the candidates, so that no
-        gateway brokers them all.
+        The services with engines are distributed over the candidates in turn.
         """
         if self.table is None or not self.broker_addresses:
             return ""
         names = sorted(
-            name for name, known in self.table.services.items() if known.engine
+            name
+            for name, config in self.table.services.items()
+            if config.engine
         )
         if service not in names:
             return ""
@@ -65,16 +76,16 @@
         return self.broker_addresses[position]
 
     def has_valid_lease(self) -> bool:
-        """Whether keys may still be taken for good."""
+        """Whether API keys may be accepted."""
         return self.lease.holds(boot_seconds())
 
     def apply(self, source: str, reply: SyncReply, sent_at: float) -> None:
-        """Takes in a control host's answer.
+        """Applies a control host's reply.
 
         Args:
-            source: The control host's internal address.
-            reply: What it said.
-            sent_at: Boot clock when we asked.
+            source: The internal address of the control host.
+            reply: The reply.
+            sent_at: When the request was sent, on the boot clock in seconds.
         """
         if reply.config is not None:
             self._install(reply.config)
@@ -95,7 +106,7 @@
         decoded = self.dialect.decode_config(document.text)
         if isinstance(decoded, Err):
             logger.error(
-                "config_unreadable",
+                "config_decode_failed",
                 version=document.version,
                 why=decoded.err_value,
             )
@@ -121,11 +132,11 @@
         )
 
     def health_of(self, endpoint: str) -> EndpointHealth:
-        """Returns the record of an endpoint's outcomes."""
+        """Returns the health record of an endpoint."""
         return self.health.setdefault(endpoint, EndpointHealth())
 
     def is_unresponsive(self, endpoint: str, now: float) -> bool:
-        """Whether all control hosts in touch miss its heartbeats."""
+        """Whether all reachable control hosts miss its heartbeats."""
         recent = [
             silent
             for at, silent in self.unresponsive_reports.values()
@@ -134,10 +145,10 @@
         return bool(recent) and all(endpoint in silent for silent in recent)
 
     def usable(self, service: str, excluded: set[str]) -> list[Registration]:
-        """Returns the endpoints that may get a request now.
+        """Returns the endpoints that may receive a request now.
 
-        Paused and silent ones are used only where there are no others: a
-        wrong suspicion of all must not stop the service.
+        Endpoints that are unresponsive or in backoff are returned only if there
+        are no others, so that wrong suspicions can't stop a service.
         """
         now = time.monotonic()
         ready = [
@@ -161,7 +172,7 @@
         return not self.is_unresponsive(registration.endpoint, now)
 
     def is_still_ready(self, registration: Registration) -> bool:
-        """Whether a chosen endpoint may still get new work."""
+        """Whether a chosen endpoint may still receive new requests."""
         held = self.registrations.known.get(registration.endpoint)
         return (
             held is not None
--- a/packages/fleet/src/marjoramyard/fleet/util/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the daemon, each module named by its subject."""
+"""Utilities that all roles of the daemon share."""
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -1,4 +1,4 @@
-"""Finds the control leader and talks to it."""
+"""A client of the control hosts that finds the leader."""
 
 import asyncio
 import random
@@ -15,7 +15,8 @@
 T = TypeVar("T")
 
 ATTEMPT_SECONDS = 1.5
-"""A frozen host takes connections and never answers; go on after this."""
+"""Timeout of one attempt; a suspended host accepts connections but does not
+reply."""
 _RETRY_SECONDS = 0.15
 _TRANSIENT = frozenset(
     {Kind.NOT_LEADER, Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.UNINITIALISED}
@@ -23,10 +24,15 @@
 
 
 class ControlClient:
-    """Sends to the leader, following hints and passing over dead hosts.
+    """Sends requests to the control leader.
 
-    Everything sent here is idempotent by design (an attempt, a change id,
-    a death id names it), so it may be sent again when an answer is lost.
+    Follows the leader hints in replies and skips unreachable hosts. All
+    requests are idempotent, as they carry the ID of their attempt, change or
+    report, and may be sent again when a reply is lost.
+
+    Attributes:
+        hosts: The internal addresses of the control hosts.
+        leader: The address that the next request is sent to.
     """
 
     def __init__(self, client: InternalClient, hosts: list[str]):
@@ -35,7 +41,7 @@
         self.leader = random.choice(self.hosts)
 
     def pass_over(self, failed: str) -> None:
-        """Goes on to another host than the one that failed."""
+        """Selects another host than the one that failed."""
         others = [host for host in self.hosts if host != failed]
         self.leader = random.choice(others or self.hosts)
 
@@ -47,7 +53,18 @@
         timeout: float,
         attempt_seconds: float = ATTEMPT_SECONDS,
     ) -> Result[T, Failure]:
-        """Asks the leader until it answers or the time is up."""
+        """Sends a message to the leader until it replies or the time is up.
+
+        Args:
+            path: The path to post to.
+            message: The message.
+            reply: The type of the reply.
+            timeout: The total time in seconds.
+            attempt_seconds: The time for each attempt in seconds.
+
+        Returns:
+            The reply, or the failure of the last attempt.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         while True:
@@ -78,7 +95,7 @@
     def _no_leader(last: Failure) -> Failure:
         return failure(
             Kind.NO_QUORUM,
-            f"no control leader answered (last: {last.message})",
+            f"no control leader replied (last failure: {last.message})",
             Outcome.UNKNOWN,
             retry_after=last.retry_after or 2.0,
         )
@@ -86,19 +103,19 @@
     async def command(
         self, command: Command, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
-        """Has a command replicated."""
+        """Has the control hosts replicate and apply a command."""
         return await self.ask(COMMAND_PATH, command, Reply, timeout)
 
     async def look_up(
         self, key: str, body_digest: str, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
-        """Asks what the ledger holds of a call."""
+        """Looks up a call in the ledger."""
         message = LookUp(key, body_digest)
         return await self.ask(LOOK_UP_PATH, message, Reply, timeout)
 
     async def query(
         self, subject: str, argument: str = "", timeout: float = 8.0
     ) -> Result[QueryReply, Failure]:
-        """Asks an operator's question."""
+        """Sends an operator's query."""
         message = Query(subject, argument)
         return await self.ask(QUERY_PATH, message, QueryReply, timeout)
--- a/packages/fleet/src/marjoramyard/fleet/util/headers.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers of answers and requests that are passed on."""
+"""HTTP headers of forwarded requests and responses."""
 
 from aiohttp import web
 
@@ -22,7 +22,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Returns the headers that are not only for one connection."""
+    """Returns the headers without the hop-by-hop ones."""
     return [
         (str(name), value)
         for name, value in headers
@@ -31,7 +31,7 @@
 
 
 def is_stream(headers: Headers) -> bool:
-    """Returns whether the headers are those of server-sent events."""
+    """Returns whether the content type is that of server-sent events."""
     return any(
         name.lower() == "content-type" and value.startswith(STREAM_TYPE)
         for name, value in headers
@@ -39,7 +39,7 @@
 
 
 def copy_headers(headers: Headers, response: web.StreamResponse) -> None:
-    """Gives a response the endpoint's headers, but those that are ours."""
+    """Adds an endpoint's headers to a response, except those set by aiohttp."""
     response.headers.popall("Content-Type", None)
     for name, value in headers:
         if name.lower() not in _OWN_HEADERS:
--- a/packages/fleet/src/marjoramyard/fleet/util/jitter.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/jitter.py
@@ -1,12 +1,11 @@
-"""Spreads out callers that come back."""
+"""Random variation of retry times."""
 
 import random
 
 RETRY_JITTER = 0.5
-"""Refused callers return over this share around the time they are told,
-not all at the same moment."""
+"""Width of the variation, as a share of the time."""
 
 
 def jitter(seconds: float) -> float:
-    """Returns about as many seconds, another number for each caller."""
+    """Returns a time that is varied around the given seconds."""
     return seconds * (1 + RETRY_JITTER * (random.random() - 0.5))
--- a/packages/fleet/src/marjoramyard/fleet/util/lag.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/lag.py
@@ -1,4 +1,4 @@
-"""Notices when this process gets too little processor."""
+"""Measures the latency of the event loop."""
 
 import asyncio
 import time
@@ -8,14 +8,19 @@
 
 INTERVAL_SECONDS = 0.05
 LATE_SECONDS = 0.05
-"""A wake-up that comes so late means that others wait as well. The smallest
-hosts give a process a quarter of a core, in turns of up to 20 ms."""
+"""A wake-up counts as late above this. Must exceed the scheduling pauses of a
+host with a fraction of a core."""
 LATE_HOLD_SECONDS = 0.5
-"""How long one late wake-up counts."""
+"""How long a late wake-up counts."""
 
 
 class LoopLag:
-    """Whether the event loop has been late recently."""
+    """Measures how late the event loop wakes up.
+
+    Attributes:
+        late_at: The last late wake-up, on the monotonic clock in seconds.
+        on_wake_up: Called at each wake-up with its lateness in seconds.
+    """
 
     def __init__(self, metrics: Metrics):
         self.metrics = metrics
@@ -24,7 +29,7 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether what is seen now may have happened a while ago."""
+        """Whether the loop was late recently and events may be too."""
         return time.monotonic() - self.late_at < LATE_HOLD_SECONDS
 
     async def watch(self) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/util/liveness.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/liveness.py
@@ -1,4 +1,4 @@
-"""Tells a peer's silence from this process's own lateness."""
+"""Detects peers that have stopped sending messages."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,12 +8,16 @@
 
 
 class LivenessTimer:
-    """How long a peer has been silent while this process could listen.
+    """A receive timeout that is counted in event loop wake-ups.
 
-    Time alone doesn't tell: a process whose event loop is late finds that
-    much time has passed, while the peer's words lie unread in its socket. So
-    silence is counted in wake-ups of this process. Between two of them its
-    sockets have been read, however long that took.
+    A wall-clock timeout would also expire when this process is late and the
+    peer's messages are waiting in the socket. Between two wake-ups of the event
+    loop the sockets have been read, however long that took.
+
+    Attributes:
+        tick_seconds: The interval between ticks.
+        limit_ticks: The number of ticks after which the timer expires.
+        missed_ticks: Ticks since the last message.
     """
 
     def __init__(self, timeout_seconds: float, tick_seconds: float):
@@ -23,22 +27,22 @@
 
     @property
     def has_expired(self) -> bool:
-        """Whether the peer has been silent for too long."""
+        """Whether no message was received within the timeout."""
         return self.missed_ticks >= self.limit_ticks
 
     def reset(self) -> None:
-        """The peer said something."""
+        """Restarts the timeout; to be called for each message."""
         self.missed_ticks = 0
 
     def tick(self) -> None:
-        """This process woke up once more; to be called once a step."""
+        """Counts a tick; to be called every `tick_seconds`."""
         self.missed_ticks += 1
 
     async def wait_for(self, awaitable: Awaitable[T]) -> T:
-        """Awaits something that needs the peer, and counts its silence.
+        """Awaits an operation of the peer while counting ticks.
 
         Raises:
-            TimeoutError: The peer has been silent for too long.
+            TimeoutError: The timer expired first.
         """
         task = asyncio.ensure_future(awaitable)
         counter = asyncio.ensure_future(self._wait_for_expiry())
@@ -47,7 +51,9 @@
                 {task, counter}, return_when=asyncio.FIRST_COMPLETED
             )
             if not task.done():
-                raise TimeoutError("the peer is silent")
+                raise TimeoutError(
+                    "no message from the peer within the timeout"
+                )
             return task.result()
         finally:
             task.cancel()
--- a/packages/fleet/src/marjoramyard/fleet/util/rpc.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/rpc.py
@@ -1,4 +1,4 @@
-"""Internal calls: JSON over HTTP, authenticated by the shared secret."""
+"""Internal calls: JSON over HTTP, authenticated by a shared secret."""
 
 import asyncio
 import hmac
@@ -33,14 +33,14 @@
 MAX_INTERNAL_BODY = 256 << 20
 MAX_HEAD_BYTES = 256 << 10
 _HEADER_ESTIMATE = 160
-"""Bytes of HTTP framing per message, counted with the control traffic."""
+"""Estimated bytes of HTTP headers per message."""
 
 
 def read_secret(path: str) -> str:
-    """Reads the secret that the fleet's processes share.
+    """Reads the shared secret of the fleet.
 
     Raises:
-        ValueError: The file is missing or the secret too short.
+        ValueError: The file can't be read or the secret is too short.
     """
     try:
         secret = Path(path).read_text(encoding="utf-8").strip()
@@ -52,13 +52,13 @@
     if len(secret) < MIN_SECRET_BYTES:
         raise ValueError(
             f"secret_file: {path}: fewer than {MIN_SECRET_BYTES} characters; "
-            "make one with `marjoramctl key secret`"
+            "create one with `marjoramctl key secret`"
         )
     return secret
 
 
 def json_response(value: Any, status: int = 200) -> web.Response:
-    """Returns a JSON response of a typed value."""
+    """Returns a JSON response with a value."""
     return web.Response(
         body=msgspec.json.encode(value),
         status=status,
@@ -67,7 +67,7 @@
 
 
 def failure_response(reason: Failure) -> web.Response:
-    """Returns the response that carries a failure."""
+    """Returns the response for a failure."""
     response = json_response(FailureBody(reason), reason.kind.status)
     response.headers["X-Marjoramyard-Outcome"] = reason.outcome
     if reason.retry_after is not None:
@@ -76,7 +76,7 @@
 
 
 def authentication(secret: str) -> Callable:
-    """Returns a middleware that turns away who lacks the secret."""
+    """Returns a middleware that rejects requests without the secret."""
     expected = f"Bearer {secret}".encode()
 
     @web.middleware
@@ -87,7 +87,7 @@
                 return failure_response(
                     failure(
                         Kind.UNAUTHENTICATED,
-                        "internal address; give the fleet's secret_file",
+                        "internal address; send the secret in secret_file",
                     )
                 )
         return await handler(request)
@@ -97,14 +97,14 @@
 
 @web.middleware
 async def render_failures(request: web.Request, handler: Handler) -> Any:
-    """Turns typed errors into their JSON answers; nothing crashes."""
+    """Converts exceptions to JSON error responses."""
     try:
         return await handler(request)
     except FleetError as error:
         return failure_response(error.failure)
     except msgspec.DecodeError as error:
         return failure_response(
-            failure(Kind.BAD_REQUEST, f"{error}; mend the request")
+            failure(Kind.BAD_REQUEST, f"{error}; correct the request")
         )
     except web.HTTPException as error:
         kind = Kind.UNKNOWN_ROUTE
@@ -120,19 +120,24 @@
         return failure_response(
             failure(
                 Kind.INTERNAL,
-                "a fault of the router; report it with the time",
+                "internal error; report it with the time",
                 Outcome.UNKNOWN,
             )
         )
 
 
 async def read_message(request: web.Request, kind: type[T]) -> T:
-    """Reads a typed message from a request's body."""
+    """Decodes a request's body."""
     return msgspec.json.decode(await request.read(), type=kind)
 
 
 class InternalClient:
-    """Calls other processes of the fleet and counts the bytes."""
+    """Calls other processes of the fleet and counts the traffic.
+
+    Attributes:
+        bytes_sent: Bytes sent, with an estimate for HTTP headers.
+        bytes_received: Bytes received, with an estimate for HTTP headers.
+    """
 
     def __init__(self, secret: str, metrics: Metrics):
         self.headers = {AUTH_HEADER: f"Bearer {secret}"} if secret else {}
@@ -157,10 +162,18 @@
         reply: type[T],
         timeout: float,
     ) -> Result[T, Failure]:
-        """Posts a message and returns the typed reply.
-
-        A missing answer is a failure whose outcome is unknown, unless the
-        connection was refused, in which case nothing was sent.
+        """Posts a message and returns the reply.
+
+        Args:
+            address: The internal address of the process.
+            path: The path to post to.
+            message: The message.
+            reply: The type of the reply.
+            timeout: The total time in seconds.
+
+        Returns:
+            The reply or a failure. The outcome of a missing reply is unknown,
+                unless the connection could not be established.
         """
         body = msgspec.json.encode(message)
         try:
@@ -171,15 +184,13 @@
                     data = await response.read()
         except aiohttp.ClientConnectorError as error:
             return Err(
-                failure(
-                    Kind.NO_ENDPOINT, f"{address} can't be reached: {error}"
-                )
+                failure(Kind.NO_ENDPOINT, f"{address} is unreachable: {error}")
             )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(
                 failure(
                     Kind.NO_ENDPOINT,
-                    f"{address} gave no answer: {error!r}",
+                    f"{address} did not reply: {error!r}",
                     Outcome.UNKNOWN,
                 )
             )
@@ -195,7 +206,7 @@
 def decode_reply(
     status: int, data: bytes, reply: type[T]
 ) -> Result[T, Failure]:
-    """Reads a reply or the failure in its place."""
+    """Decodes a reply or the failure sent instead."""
     try:
         if status != web.HTTPOk.status_code:
             return Err(msgspec.json.decode(data, type=FailureBody).error)
@@ -204,13 +215,13 @@
         return Err(
             failure(
                 Kind.INTERNAL,
-                f"not a reply of this release: {error}; compare the versions",
+                f"invalid reply: {error}; compare the releases in use",
                 Outcome.UNKNOWN,
             )
         )
 
 
 def is_loopback(address: str) -> bool:
-    """Returns whether an IP:PORT stands on this host."""
+    """Returns whether an IP:PORT is a loopback address."""
     host = address.rpartition(":")[0].strip("[]")
     return ipaddress.ip_address(host).is_loopback
--- a/packages/fleet/src/marjoramyard/fleet/util/tasks.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that are kept, watched and ended."""
+"""Background tasks that are cancelled with their owner."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -11,17 +11,17 @@
 
 
 class TaskGroup:
-    """Tasks that live as long as their owner.
+    """Keeps references to tasks and logs their failures.
 
-    The loop keeps only weak references to tasks, so one that nobody holds
-    may vanish half done; and a failure that nobody awaits would be silent.
+    The event loop keeps only weak references, so an unreferenced task may be
+    garbage collected before it is done.
     """
 
     def __init__(self):
         self.tasks: set[asyncio.Task] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Starts a task and logs it if it fails."""
+        """Starts a task; logs its exception if it fails."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._done)
@@ -33,7 +33,7 @@
             logger.error("task_failed", exc_info=task.exception())
 
     async def close(self) -> None:
-        """Cancels what still runs and waits for it."""
+        """Cancels all running tasks and waits for them."""
         running = list(self.tasks)
         for task in running:
             task.cancel()
@@ -42,7 +42,7 @@
 
 @asynccontextmanager
 async def task_group() -> AsyncIterator[TaskGroup]:
-    """Owns tasks for the length of a block."""
+    """Yields a task group that is closed at the end of the context."""
     group = TaskGroup()
     try:
         yield group
