--- a/packages/fleet/tests/gateway/granting_broker.py
+++ b/packages/fleet/tests/gateway/granting_broker.py
@@ -1,6 +1,6 @@
-"""A broker in a process of its own that grants every request at once.
+"""A broker process that grants every request at once.
 
-Prints its port. Ends when its standard input is closed.
+Prints its port. Exits when its standard input is closed.
 """
 
 import asyncio
--- a/packages/fleet/tests/gateway/test_broker_client.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -1,4 +1,4 @@
-"""A gateway's link to the broker of a service."""
+"""Requests for places while the gateway or the broker is slow."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 
 
 class ViewOfOneBroker:
-    """A view of the fleet in which one address brokers everything."""
+    """A view of the fleet with one broker for all services."""
 
     def __init__(self, address):
         self.address = address
@@ -50,9 +50,9 @@
 
 @pytest.fixture
 def metrics():
-    made = Metrics("gateway", "g0")
-    yield made
-    made.close()
+    instance = Metrics("gateway", "g0")
+    yield instance
+    instance.close()
 
 
 @contextlib.asynccontextmanager
@@ -113,31 +113,31 @@
     return reply
 
 
-def hold_the_loop(seconds):
-    """Takes the processor as a burst of requests does."""
+def block_the_loop(seconds):
+    """Blocks the event loop."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         pass
 
 
-async def test_a_late_gateway_does_not_go_past_the_broker(metrics):
-    """Guards against: a flood at a gateway short of processor bypasses the
-    broker's line, and the flooding workspace takes the others' shares.
+async def test_a_late_gateway_does_not_bypass_the_broker(metrics):
+    """Guards against requests of a late gateway that bypass the broker's queue,
+    which would give one workspace the shares of the others.
     """
     async with (
         broker_process() as (_, address),
         connected_client(address, metrics) as client,
     ):
         for _ in range(4):
-            asked_before = asyncio.create_task(place(client))
+            earlier = asyncio.create_task(place(client))
             await asyncio.sleep(0)
-            hold_the_loop(BROKER_TIMEOUT_SECONDS * 1.5)
+            block_the_loop(BROKER_TIMEOUT_SECONDS * 1.5)
             assert isinstance(await place(client), PlaceGrant)
-            assert isinstance(await asked_before, PlaceGrant)
+            assert isinstance(await earlier, PlaceGrant)
 
 
-async def test_a_frozen_broker_holds_no_request_for_long(metrics):
-    """Guards against: requests wait for a broker whose host stands still."""
+async def test_a_suspended_broker_does_not_hold_up_requests(metrics):
+    """Guards against requests that wait for a suspended broker."""
     async with (
         broker_process() as (child, address),
         connected_client(address, metrics) as client,
--- a/packages/fleet/tests/gateway/test_broker_server.py
+++ b/packages/fleet/tests/gateway/test_broker_server.py
@@ -1,4 +1,4 @@
-"""The broker's side of its connections to gateways."""
+"""Grants and heartbeats of the broker server."""
 
 import asyncio
 import contextlib
@@ -68,7 +68,7 @@
         yield socket
 
 
-async def ask(socket, number, workspace, tokens=1800):
+async def request_place(socket, number, workspace, tokens=1800):
     part = (f"{workspace}-{number}", tokens)
     request = PlaceRequest(
         number, "llm", workspace, [part], 10, OBJECTIVE_MS, TIMEOUT_MS
@@ -78,7 +78,7 @@
 
 @contextlib.asynccontextmanager
 async def sending_heartbeats(socket):
-    """Says that the gateway is there, as one does that waits for a grant."""
+    """Sends heartbeats, as a gateway does that waits for a grant."""
 
     async def send_heartbeats_forever():
         while True:
@@ -93,44 +93,50 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def answer(socket, number):
-    """Returns what the broker says of a request."""
+async def receive_reply(socket, number):
+    """Returns the broker's reply to a request."""
     while True:
-        message = await socket.receive()
-        for reply in broker_message_decoder.decode(message.data):
+        frame = await socket.receive()
+        for reply in broker_message_decoder.decode(frame.data):
             if getattr(reply, "number", None) == number:
                 return reply
 
 
-async def test_a_silent_gateway_does_not_hold_up_the_others(broker_url):
-    """Guards against: endpoints stand idle, and all workspaces are refused,
-    because a gateway without processor has not sent what it was granted.
+async def test_an_unresponsive_gateway_does_not_delay_others(broker_url):
+    """Guards against idle endpoints while an unresponsive gateway holds grants
+    that it has not used.
     """
-    async with connected(broker_url) as silent, connected(broker_url) as sound:
+    async with (
+        connected(broker_url) as unresponsive,
+        connected(broker_url) as responsive,
+    ):
         for number in range(1, 9):
-            await ask(silent, number, "flood")
-        assert isinstance(await answer(silent, 1), PlaceGrant)
-        await ask(sound, 1, "small")
+            await request_place(unresponsive, number, "large")
+        assert isinstance(await receive_reply(unresponsive, 1), PlaceGrant)
+        await request_place(responsive, 1, "small")
         async with (
-            sending_heartbeats(sound),
+            sending_heartbeats(responsive),
             asyncio.timeout(OBJECTIVE_MS / 1000),
         ):
-            assert isinstance(await answer(sound, 1), PlaceGrant)
+            assert isinstance(await receive_reply(responsive, 1), PlaceGrant)
 
 
-async def test_a_gateway_that_is_heard_again_gets_its_grants(broker_url):
-    """Guards against: what a gateway asked for before it fell silent waits
-    until its callers' patience ends.
+async def test_a_gateway_gets_its_grants_once_it_responds_again(broker_url):
+    """Guards against requests that stay queued until their deadline after their
+    gateway was unresponsive for a while.
     """
-    async with connected(broker_url) as late, connected(broker_url) as sound:
+    async with (
+        connected(broker_url) as recovering,
+        connected(broker_url) as responsive,
+    ):
         for number in range(1, 9):
-            await ask(late, number, "flood")
-        assert isinstance(await answer(late, 2), PlaceGrant)
-        await ask(sound, 1, "small")
-        async with sending_heartbeats(sound):
-            assert isinstance(await answer(sound, 1), PlaceGrant)
+            await request_place(recovering, number, "large")
+        assert isinstance(await receive_reply(recovering, 2), PlaceGrant)
+        await request_place(responsive, 1, "small")
+        async with sending_heartbeats(responsive):
+            assert isinstance(await receive_reply(responsive, 1), PlaceGrant)
         async with (
-            sending_heartbeats(late),
+            sending_heartbeats(recovering),
             asyncio.timeout(OBJECTIVE_MS / 1000),
         ):
-            assert isinstance(await answer(late, 3), PlaceGrant)
+            assert isinstance(await receive_reply(recovering, 3), PlaceGrant)
--- a/packages/fleet/tests/gateway/test_early_refusal.py
+++ b/packages/fleet/tests/gateway/test_early_refusal.py
@@ -1,4 +1,4 @@
-"""Requests that are refused before they are parsed."""
+"""Requests that are rejected before they are parsed."""
 
 import asyncio
 
@@ -26,32 +26,32 @@
 
 
 class Recorder:
-    """Stands in for a transport and for the protocol behind."""
+    """A transport and an inner protocol that record bytes."""
 
     def __init__(self):
-        self.passed = b""
+        self.forwarded = b""
         self.written = b""
 
     def data_received(self, data):
-        self.passed += data
+        self.forwarded += data
 
     def write(self, data):
         self.written += data
 
 
-def guarded(judge=lambda head: REFUSED, waits=True):
+def filtered_connection(check=lambda head: REFUSED, is_idle=True):
     recorder = Recorder()
-    protocol = EarlyRefusal(recorder, lambda: waits, lambda: True, judge)
+    protocol = EarlyRefusal(recorder, lambda: is_idle, lambda: True, check)
     protocol.transport = recorder
     return protocol, recorder
 
 
 @given(st.lists(st.integers(1, 400), max_size=4))
-def test_a_refused_request_is_answered_once_it_is_whole(cuts):
-    """Guards against: the rest of a refused request is read as the next."""
+def test_a_rejected_request_is_answered_once_it_is_complete(cuts):
+    """Guards against parsing the body of a rejected request as a request."""
     data = request(b"GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n" * 9)
     head_size = data.find(b"\r\n\r\n") + 4
-    protocol, recorder = guarded()
+    protocol, recorder = filtered_connection()
     position = 0
     for cut in cuts:
         end = min(len(data), max(position, head_size) + cut)
@@ -62,7 +62,7 @@
     if position < len(data):
         protocol.data_received(data[position:])
     assert recorder.written == REFUSED
-    assert recorder.passed == b""
+    assert recorder.forwarded == b""
     protocol.data_received(data)
     assert recorder.written == REFUSED * 2
 
@@ -81,62 +81,60 @@
         request() + request(),
     ],
 )
-def test_what_is_not_plain_is_left_to_the_library(data):
-    """Guards against: a request is smuggled within another one."""
-    protocol, recorder = guarded()
+def test_unusual_requests_are_left_to_the_http_library(data):
+    """Guards against request smuggling."""
+    protocol, recorder = filtered_connection()
     protocol.data_received(data)
     protocol.data_received(request())
-    assert recorder.passed == data + request()
+    assert recorder.forwarded == data + request()
     assert recorder.written == b""
 
 
-def test_nothing_is_refused_while_an_answer_is_on_its_way():
-    protocol, recorder = guarded(waits=False)
+def test_nothing_is_rejected_while_a_response_is_in_progress():
+    protocol, recorder = filtered_connection(is_idle=False)
     protocol.data_received(request())
-    assert recorder.passed == request()
+    assert recorder.forwarded == request()
 
 
-def test_a_judge_reads_path_and_headers():
+def test_a_check_can_read_path_and_headers():
     heads = []
-    protocol, recorder = guarded(heads.append)
+    protocol, recorder = filtered_connection(heads.append)
     protocol.data_received(request(b"x", "/a/b?c", ["Api-Key:  k1 "]))
     (head,) = heads
     assert head.path == "/a/b?c"
     assert head.header(b"api-key") == "k1"
     assert head.header(b"host") == "h"
     assert head.header(b"other") == ""
-    assert recorder.passed
+    assert recorder.forwarded
 
 
-def test_a_header_that_comes_twice_is_not_believed():
+def test_a_repeated_header_is_ignored():
     head = parse_head(request(extra=["Api-Key: a", "Api-Key: b"]))
     assert head.header(b"api-key") == ""
 
 
-def test_a_request_right_behind_a_refused_one_is_answered_too():
-    """Guards against: a caller that sends its next request early waits for
-    ever, because the bytes behind a refused one are taken for its body.
-    """
-    protocol, recorder = guarded()
+def test_a_pipelined_request_after_a_rejected_one_is_answered():
+    """Guards against a pipelined request being discarded as part of a body."""
+    protocol, recorder = filtered_connection()
     data = request(b"x" * 100) + request(b"y")
     protocol.data_received(data[:80])
     protocol.data_received(data[80:])
     assert recorder.written == REFUSED * 2
-    assert recorder.passed == b""
+    assert recorder.forwarded == b""
 
 
-async def test_a_connection_goes_on_after_a_refusal():
-    """Guards against: a caller that keeps its connection gets no answer, or
-    another request's, after one of its requests was refused early.
+async def test_a_connection_stays_usable_after_a_refusal():
+    """Guards against missing or swapped responses on a connection that is kept
+    alive after an early refusal.
     """
-    refusing = False
+    is_refusing = False
 
     async def echo(received):
         return web.Response(body=await received.read())
 
-    def wrap(behind, waits):
+    def wrap(inner, is_idle):
         return EarlyRefusal(
-            behind, waits, lambda: refusing, lambda head: REFUSED
+            inner, is_idle, lambda: is_refusing, lambda head: REFUSED
         )
 
     app = web.Application()
@@ -150,14 +148,14 @@
     try:
         async with aiohttp.ClientSession(connector=connector) as session:
             for number in range(12):
-                refusing = number % 3 == 1
+                is_refusing = number % 3 == 1
                 body = str(number).encode() * 30_000
                 async with asyncio.timeout(5):
                     async with session.post(
                         f"http://127.0.0.1:{port}/", data=body
                     ) as response:
                         text = await response.read()
-                assert response.status == (503 if refusing else 200)
-                assert text == (b"refused" if refusing else body)
+                assert response.status == (503 if is_refusing else 200)
+                assert text == (b"refused" if is_refusing else body)
     finally:
         await runner.cleanup()
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -1,4 +1,4 @@
-"""A gateway that is sent more than its processor handles."""
+"""The limit on prompts in service."""
 
 import pytest
 
@@ -35,51 +35,51 @@
     return Gateway()
 
 
-def test_a_gateway_in_time_refuses_nothing(gateway):
+def test_a_punctual_gateway_refuses_nothing(gateway):
     limit = gateway.limit
     gateway.enter("w", 500)
     limit.on_wake_up(0.0)
     assert limit.admits("w")
 
 
-def test_a_flood_does_not_grow_in_a_late_gateway(gateway):
-    """Guards against: all callers of a gateway get their answers late, and
-    its next endpoints' answers wait, because one workspace fills it.
+def test_a_late_gateway_refuses_prompts_of_the_dominant_workspace(gateway):
+    """Guards against one workspace delaying the responses of all callers of a
+    gateway.
     """
     limit = gateway.limit
-    gateway.enter("flood", 200)
+    gateway.enter("large", 200)
     limit.on_wake_up(LATE)
-    with pytest.raises(FleetError) as caught, limit.admit("flood"):
+    with pytest.raises(FleetError) as caught, limit.admit("large"):
         pass
     assert caught.value.failure.kind is Kind.OVERLOADED
     assert caught.value.failure.retry_after > 1
-    assert limit.pop_refused_counts() == {"flood": 1}
+    assert limit.pop_refused_counts() == {"large": 1}
     assert limit.total == 200
 
 
-def test_other_workspaces_are_served_beside_a_flood(gateway):
+def test_other_workspaces_are_admitted_at_the_limit(gateway):
     limit = gateway.limit
-    gateway.enter("flood", 200)
+    gateway.enter("large", 200)
     limit.on_wake_up(LATE)
     gateway.enter("small", 5)
     assert limit.admits("small")
-    assert not limit.admits("flood")
+    assert not limit.admits("large")
 
 
-def test_the_limit_rises_again_while_it_is_in_use(gateway):
+def test_the_limit_increases_while_it_is_in_use(gateway):
     limit = gateway.limit
-    gateway.enter("flood", 200)
+    gateway.enter("large", 200)
     limit.on_wake_up(LATE)
     gateway.leave(100)
-    assert limit.admits("flood")
-    gateway.enter("flood", 40)
-    assert not limit.admits("flood")
+    assert limit.admits("large")
+    gateway.enter("large", 40)
+    assert not limit.admits("large")
     for _ in range(10):
         limit.on_wake_up(0.0)
-    assert limit.admits("flood")
+    assert limit.admits("large")
 
 
-def test_one_late_moment_of_a_calm_gateway_refuses_nobody(gateway):
+def test_a_late_gateway_with_few_prompts_refuses_nothing(gateway):
     limit = gateway.limit
     gateway.enter("w", 3)
     for _ in range(5):
@@ -88,19 +88,21 @@
     assert limit.admits("w")
 
 
-def test_a_flooded_gateway_sends_new_connections_elsewhere(gateway):
-    """Guards against: a workspace whose connections all reach one gateway
-    gets no more than that gateway's processor, while the others are idle.
+def test_a_gateway_overloaded_by_one_workspace_is_reported(gateway):
+    """Guards against a workspace being limited to the CPU of one gateway while
+    others are idle.
     """
-    gateway.enter("flood", 100)
+    gateway.enter("large", 100)
     gateway.enter("small", 20)
     assert not gateway.limit.is_overloaded_by_one
     gateway.limit.on_wake_up(LATE)
     assert gateway.limit.is_overloaded_by_one
 
 
-def test_a_gateway_with_too_much_of_everybody_stays_ready(gateway):
-    """Guards against: in a rush of all workspaces no gateway is ready."""
+def test_a_gateway_overloaded_by_all_workspaces_stays_ready(gateway):
+    """Guards against a fleet without ready gateways when all workspaces
+    overload it.
+    """
     for number in range(10):
         gateway.enter(f"w{number}", 20)
     gateway.limit.on_wake_up(LATE)
--- a/packages/fleet/tests/gateway/test_request_handler.py
+++ b/packages/fleet/tests/gateway/test_request_handler.py
@@ -1,4 +1,4 @@
-"""What a gateway refuses before it has parsed it."""
+"""Prompts that a gateway refuses before they are parsed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -35,7 +35,7 @@
         for name in ("llm", "api")
     ),
     services=(Service("llm", engine=EngineProfile()), Service("api")),
-    workspaces=(Workspace("flood", ("k1",)), Workspace("small", ("k2",))),
+    workspaces=(Workspace("large", ("k1",)), Workspace("small", ("k2",))),
 )
 
 
@@ -51,41 +51,39 @@
         stopping=asyncio.Event(),
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(on_wake_up=[]))
-    made = RequestHandler(view, None, brokers, app)
-    made.limit.limit = 1.0
-    with made.limit.admit("flood"):
-        yield made
+    instance = RequestHandler(view, None, brokers, app)
+    instance.limit.limit = 1.0
+    with instance.limit.admit("large"):
+        yield instance
     metrics.close()
 
 
-def refusal(handler, path="/llm/x", key="k1"):
-    text = f"POST {path} HTTP/1.1\r\nHost: h\r\nApi-Key: {key}\r\n\r\n"
-    return handler.refuse_early(parse_head(text.encode()))
+def refuse_early(handler, path="/llm/x", key="k1"):
+    head = f"POST {path} HTTP/1.1\r\nHost: h\r\nApi-Key: {key}\r\n\r\n"
+    return handler.refuse_early(parse_head(head.encode()))
 
 
-def test_a_prompt_beyond_the_limit_is_told_when_to_come_back(handler):
-    response = refusal(handler).decode()
+def test_a_prompt_beyond_the_limit_is_refused_with_retry_after(handler):
+    response = refuse_early(handler).decode()
     assert response.startswith("HTTP/1.1 503 ")
     assert "Retry-After: " in response
     assert '"outcome":"not-run"' in response.partition("\r\n\r\n")[2]
-    assert handler.limit.pop_refused_counts() == {"flood": 1}
+    assert handler.limit.pop_refused_counts() == {"large": 1}
 
 
 @pytest.mark.parametrize(
     "request_", [{"path": "/api/x"}, {"key": "k2"}, {"path": "/other"}]
 )
 def test_other_requests_are_parsed(handler, request_):
-    """Guards against: a flood of prompts that keeps out plain calls, or the
-    prompts of other workspaces.
-    """
-    assert refusal(handler, **request_) is None
+    """Guards against refusing plain calls, or prompts of other workspaces."""
+    assert refuse_early(handler, **request_) is None
 
 
-def test_an_unknown_key_is_not_told_to_come_back(handler):
-    assert refusal(handler, key="unknown") is None
-    assert refusal(handler, key="") is None
+def test_an_unknown_key_is_not_refused_early(handler):
+    assert refuse_early(handler, key="unknown") is None
+    assert refuse_early(handler, key="") is None
 
 
-def test_no_key_is_judged_without_a_lease(handler):
+def test_nothing_is_refused_early_without_a_lease(handler):
     handler.view.lease.until = 0.0
-    assert refusal(handler) is None
+    assert refuse_early(handler) is None
--- a/packages/fleet/tests/gateway/test_request_run.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -1,4 +1,4 @@
-"""One request's way, without a network."""
+"""The run of one request, without a network."""
 
 import time
 from types import SimpleNamespace
@@ -36,7 +36,7 @@
 
 
 class SessionThatTimesOut:
-    """A client session whose connections are never made."""
+    """A client session whose connections time out."""
 
     async def request(self, *_args, **_options):
         raise aiohttp.ConnectionTimeoutError("timeout")
@@ -44,20 +44,20 @@
 
 @pytest.fixture
 def metrics():
-    made = Metrics("gateway", "g0")
-    yield made
-    made.close()
+    instance = Metrics("gateway", "g0")
+    yield instance
+    instance.close()
 
 
 @pytest.fixture
 def view():
-    made = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
-    made.table = RouteTable(FleetConfig(1, services=(SERVICE,)))
+    fleet_view = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
+    fleet_view.table = RouteTable(FleetConfig(1, services=(SERVICE,)))
     registration = Registration(
         endpoint="e0", service="api", address="127.0.0.1:1"
     )
-    made.registrations.merge(registration, 0.0)
-    return made
+    fleet_view.registrations.merge(registration, 0.0)
+    return fleet_view
 
 
 def make_run(view, metrics, is_late):
@@ -90,9 +90,11 @@
 
 
 @pytest.mark.parametrize("is_late", [True, False])
-async def test_a_late_gateway_does_not_blame_endpoints(view, metrics, is_late):
-    """Guards against: connections that a gateway was too busy to complete
-    take sound endpoints out of service, for all gateways.
+async def test_a_late_gateway_does_not_mark_endpoints_failed(
+    view, metrics, is_late
+):
+    """Guards against healthy endpoints being taken out of service because a
+    gateway was too late to complete connections.
     """
     run = make_run(view, metrics, is_late)
     with pytest.raises(FleetError) as caught:
--- a/packages/fleet/tests/gateway/test_role.py
+++ b/packages/fleet/tests/gateway/test_role.py
@@ -1,41 +1,39 @@
-"""How a gateway leaves."""
+"""Draining of a gateway."""
 
 import asyncio
 import time
 from types import SimpleNamespace
 
-from marjoramyard.fleet.gateway import role as roles
+from marjoramyard.fleet.gateway import role as role_module
 from marjoramyard.fleet.gateway.role import GatewayRole
 
-LATE_TURNS = 5
-TURN_SECONDS = 0.35
+LATE_POLLS = 5
+POLL_SECONDS = 0.35
 
 
-class FloodedConnections:
-    """Connections that bring a request in each turn of a late loop."""
+class BusyConnections:
+    """Connections on which each poll of a late loop finds a new request."""
 
     def __init__(self, handler):
         self.handler = handler
-        self.turns = 0
+        self.polls = 0
 
     def close_idle(self):
-        self.turns += 1
-        if self.turns <= LATE_TURNS:
+        self.polls += 1
+        if self.polls <= LATE_POLLS:
             self.handler.started_count += 1
-            end = time.monotonic() + TURN_SECONDS
+            end = time.monotonic() + POLL_SECONDS
             while time.monotonic() < end:
                 pass
 
 
-async def test_a_late_gateway_ends_only_when_no_more_requests_come(monkeypatch):
-    """Guards against: requests that a flooded gateway has not got round to
-    are cut without an answer, because by the clock nothing came for a while.
-    """
-    monkeypatch.setattr(roles, "BALANCER_NOTICE_SECONDS", 0.0)
+async def test_a_late_gateway_drains_until_no_more_requests_arrive(monkeypatch):
+    """Guards against exiting while a late gateway still has unread requests."""
+    monkeypatch.setattr(role_module, "BALANCER_NOTICE_SECONDS", 0.0)
     handler = SimpleNamespace(active_count=0, started_count=0)
     settings = SimpleNamespace(max_descriptors=1000, grace_seconds=30.0)
     app = SimpleNamespace(settings=settings, stopping=asyncio.Event())
     role = GatewayRole(app, None, handler)
-    role.connections = FloodedConnections(handler)
+    role.connections = BusyConnections(handler)
     await role.drain()
-    assert role.connections.turns > LATE_TURNS
+    assert role.connections.polls > LATE_POLLS
