--- a/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
@@ -54,7 +54,7 @@
     connection: Connection, change: MemberChange
 ) -> HostStatus:
     return require(
-        await connection.control.ask(
+        await connection.control.call_leader(
             MEMBER_PATH, change, HostStatus, 20.0, _CALL_SECONDS
         )
     )
@@ -143,7 +143,7 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + _CATCH_UP_SECONDS
     while loop.time() < until:
-        answer = await connection.control.ask(
+        answer = await connection.control.call_leader(
             MEMBER_PATH,
             MemberChange("promote", replica),
             HostStatus,
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
@@ -97,7 +97,7 @@
         self.started_count += 1
         delivery = ResponseDelivery(request, self.closes_connections)
         trace = RequestTrace()
-        began = time.monotonic()
+        started_at = time.monotonic()
         caller: CallerRequest | None = None
         status, outcome = 0, "caller-left"
         try:
@@ -122,7 +122,7 @@
         finally:
             self.active_count -= 1
             self._log_request(
-                request, caller, delivery, trace, began, status, outcome
+                request, caller, delivery, trace, started_at, status, outcome
             )
 
     def refuse_early(self, head: RequestHead) -> bytes | None:
@@ -213,7 +213,7 @@
         return response
 
     def _log_request(
-        self, request, caller, delivery, trace, began, status, outcome
+        self, request, caller, delivery, trace, started_at, status, outcome
     ) -> None:
         now = time.monotonic()
         kind = caller.route.request_kind.value if caller else "none"
@@ -221,7 +221,7 @@
         if outcome == Kind.OVERLOADED.code:
             # Logging each refused request would add to the overload.
             return
-        self.metrics.observe("request_seconds", now - began, kind=kind)
+        self.metrics.observe("request_seconds", now - started_at, kind=kind)
         logger.info(
             "request",
             id=request.headers.get(self.names.attempt, ""),
@@ -237,15 +237,15 @@
             status=status,
             outcome=outcome,
             first_ms=(
-                round((delivery.first_at - began) * 1000)
+                round((delivery.first_at - started_at) * 1000)
                 if delivery.first_at
                 else None
             ),
             longest_gap_ms=round(delivery.longest_gap * 1000),
-            total_ms=round((now - began) * 1000),
+            total_ms=round((now - started_at) * 1000),
             prompt_tokens=sum(p.tokens for p in caller.parts) if caller else 0,
             read_tokens=round(trace.prefill_tokens),
-            missed=_missed_objective(caller, delivery, began),
+            missed=_missed_objective(caller, delivery, started_at),
         )
 
     async def _serve(
@@ -280,12 +280,12 @@
 
 
 def _missed_objective(
-    caller: CallerRequest | None, delivery: ResponseDelivery, began: float
+    caller: CallerRequest | None, delivery: ResponseDelivery, started_at: float
 ) -> str | None:
     """Returns the objective that a response missed: first, gap or None."""
     if caller is None or not delivery.first_at:
         return None
-    first_ms = (delivery.first_at - began) * 1000
+    first_ms = (delivery.first_at - started_at) * 1000
     if 0 < caller.route.objective_ms < first_ms:
         return "first"
     gap_ms = delivery.longest_gap * 1000
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -144,11 +144,11 @@
                 self._least_loaded(candidates), "", self._last_event_id()
             )
         client = self.context.brokers.client_for(self.service.name)
-        began = time.monotonic()
+        started_at = time.monotonic()
         broker_number, reply = await client.place(
             self.caller, self.service, self.tried
         )
-        self.trace.wait_ms += (time.monotonic() - began) * 1000
+        self.trace.wait_ms += (time.monotonic() - started_at) * 1000
         if isinstance(reply, PlaceRefusal):
             self.trace.predicted_ms = round(reply.predicted_ms)
             raise FleetError(self._late_failure(reply))
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -108,8 +108,8 @@
         they would bring requests until the process is killed.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        end = began + self.settings.grace_seconds - EXIT_MARGIN_SECONDS
+        started_at = loop.time()
+        end = started_at + self.settings.grace_seconds - EXIT_MARGIN_SECONDS
         self.handler.stops_at = end
         await asyncio.sleep(BALANCER_NOTICE_SECONDS)
         self.handler.is_refusing = True
@@ -128,7 +128,7 @@
         logger.info(
             "drained",
             cut=self.handler.active_count,
-            seconds=round(loop.time() - began, 2),
+            seconds=round(loop.time() - started_at, 2),
         )
 
 
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -146,7 +146,7 @@
             if reason.leader and reason.leader != address:
                 self.control.leader = reason.leader
             else:
-                self.control.pass_over(address)
+                self.control.select_another_host(address)
             return False
         return self._take(answer.ok_value, sent_at)
 
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -40,12 +40,12 @@
         self.hosts = list(hosts)
         self.leader = random.choice(self.hosts)
 
-    def pass_over(self, failed: str) -> None:
+    def select_another_host(self, failed: str) -> None:
         """Selects another host than the one that failed."""
-        others = [host for host in self.hosts if host != failed]
-        self.leader = random.choice(others or self.hosts)
+        other_hosts = [host for host in self.hosts if host != failed]
+        self.leader = random.choice(other_hosts or self.hosts)
 
-    async def ask(
+    async def call_leader(
         self,
         path: str,
         message: Any,
@@ -85,14 +85,14 @@
             if reason.leader and reason.leader != address:
                 self.leader = reason.leader
             else:
-                self.pass_over(address)
+                self.select_another_host(address)
             wait_seconds = _RETRY_SECONDS * random.uniform(0.5, 1.5)
             if loop.time() + wait_seconds >= deadline:
-                return Err(self._no_leader(reason))
+                return Err(self._no_leader_failure(reason))
             await asyncio.sleep(wait_seconds)
 
     @staticmethod
-    def _no_leader(last: Failure) -> Failure:
+    def _no_leader_failure(last: Failure) -> Failure:
         return failure(
             Kind.NO_QUORUM,
             f"no control leader replied (last failure: {last.message})",
@@ -104,18 +104,18 @@
         self, command: Command, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
         """Has the control hosts replicate and apply a command."""
-        return await self.ask(COMMAND_PATH, command, Reply, timeout)
+        return await self.call_leader(COMMAND_PATH, command, Reply, timeout)
 
     async def look_up(
         self, key: str, body_digest: str, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
         """Looks up a call in the ledger."""
         message = LookUp(key, body_digest)
-        return await self.ask(LOOK_UP_PATH, message, Reply, timeout)
+        return await self.call_leader(LOOK_UP_PATH, message, Reply, timeout)
 
     async def query(
         self, subject: str, argument: str = "", timeout: float = 8.0
     ) -> Result[QueryReply, Failure]:
         """Sends an operator's query."""
         message = Query(subject, argument)
-        return await self.ask(QUERY_PATH, message, QueryReply, timeout)
+        return await self.call_leader(QUERY_PATH, message, QueryReply, timeout)
--- a/packages/fleet/src/marjoramyard/fleet/util/lag.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/lag.py
@@ -35,12 +35,12 @@
     async def watch(self) -> None:
         """Measures until cancelled."""
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             await asyncio.sleep(INTERVAL_SECONDS)
             now = time.monotonic()
-            late = now - began - INTERVAL_SECONDS
-            self.metrics.observe("loop_late_seconds", late)
-            if late > LATE_SECONDS:
+            late_seconds = now - started_at - INTERVAL_SECONDS
+            self.metrics.observe("loop_late_seconds", late_seconds)
+            if late_seconds > LATE_SECONDS:
                 self.late_at = now
             for listener in self.on_wake_up:
-                listener(late)
+                listener(late_seconds)
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -44,7 +44,7 @@
         self.requests.append(request)
         return self.answers.pop(0)
 
-    def pass_over(self, address):
+    def select_another_host(self, address):
         self.passed_over.append(address)
 
 
