--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -162,7 +162,7 @@
         if outbox and self.socket is not None and not self.socket.closed:
             data = msgspec.json.encode(outbox).decode()
             task = asyncio.ensure_future(self.socket.send_str(data))
-            task.add_done_callback(_log_send)
+            task.add_done_callback(_log_send_failure)
 
     async def place(
         self, caller: CallerRequest, service: Service, excluded: set[str]
@@ -292,6 +292,6 @@
         yield session
 
 
-def _log_send(task: asyncio.Future) -> None:
+def _log_send_failure(task: asyncio.Future) -> None:
     if not task.cancelled() and task.exception() is not None:
         logger.info("broker_send_failed", why=repr(task.exception()))
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -275,7 +275,7 @@
             outbox, gateway.outbox = gateway.outbox, []
             data = msgspec.json.encode(outbox).decode()
             task = asyncio.ensure_future(gateway.socket.send_str(data))
-            task.add_done_callback(_log_send)
+            task.add_done_callback(_log_send_failure)
 
     async def log_load_forever(self) -> None:
         """Logs the load of each broker that has requests, once a second."""
@@ -318,7 +318,7 @@
             self._schedule_dispatch()
 
 
-def _log_send(task: asyncio.Future) -> None:
+def _log_send_failure(task: asyncio.Future) -> None:
     if not task.cancelled() and task.exception() is not None:
         logger.info("broker_reply_failed", why=repr(task.exception()))
 
