--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -9,10 +9,10 @@
 
 from marjoramyard.coordination.placement.broker import Broker
 from marjoramyard.coordination.placement.requests import (
-    Ask,
-    Granted,
-    Refused,
-    Sent,
+    PlacementGrant,
+    PlacementRefusal,
+    PlacementRequest,
+    UnbrokeredRequest,
 )
 from marjoramyard.fleet.gateway.broker_protocol import (
     HEARTBEAT_INTERVAL_SECONDS,
@@ -179,7 +179,9 @@
     def _on_finished(self, broker: Broker, key: str, message: Finished) -> None:
         in_flight = broker.flights.get(key)
         if in_flight is not None and message.failed:
-            self.view.health_of(in_flight.engine).failed(time.monotonic())
+            self.view.health_of(in_flight.engine).record_failure(
+                time.monotonic()
+            )
         broker.ended(key)
 
     def _submit(
@@ -190,7 +192,7 @@
             gateway.outbox.append(PlaceRefusal(message.number, 0.0, 0.0))
             return
         now = _now()
-        placement_request = Ask(
+        placement_request = PlacementRequest(
             key=gateway.key(message.number),
             workspace=message.workspace,
             parts=message.prompt(),
@@ -213,7 +215,7 @@
         broker = self._broker(message.service)
         if broker is not None:
             gateway.requests[message.number] = message.service
-            unbrokered = Sent(
+            unbrokered = UnbrokeredRequest(
                 key=gateway.key(message.number),
                 endpoint=message.endpoint,
                 tokens=message.tokens,
@@ -226,7 +228,7 @@
 
     @staticmethod
     def _send_refusal(
-        gateway: GatewayConnection, number: int, refusal: Refused
+        gateway: GatewayConnection, number: int, refusal: PlacementRefusal
     ) -> None:
         gateway.outbox.append(
             PlaceRefusal(
@@ -253,13 +255,13 @@
         for gateway in self.gateways.values():
             self._flush(gateway)
 
-    def _notify(self, decision: Granted | Refused) -> None:
+    def _notify(self, decision: PlacementGrant | PlacementRefusal) -> None:
         gateway_number, _, request_number = decision.key.partition("/")
         gateway = self.gateways.get(int(gateway_number))
         if gateway is None:
             return
         number = int(request_number)
-        if isinstance(decision, Refused):
+        if isinstance(decision, PlacementRefusal):
             gateway.requests.pop(number, None)
             self._send_refusal(gateway, number, decision)
             return
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -13,7 +13,7 @@
     EndpointState,
     Registration,
 )
-from marjoramyard.coordination.placement.choice import place_prompt
+from marjoramyard.coordination.placement.local_placement import place_prompt
 from marjoramyard.coordination.routing.config import Service
 from marjoramyard.coordination.serving.retries import RetryBudget
 from marjoramyard.fleet.gateway.admission import CallerRequest
@@ -165,7 +165,7 @@
         self.context.metrics.count("placements", by=by.value)
 
     def _plan_granted(self, reply: PlaceGrant, broker_number: int) -> SendPlan:
-        known = self.view.registrations.known
+        known = self.view.registrations.by_endpoint
         registration = known.get(reply.endpoint)
         if (
             registration is None
@@ -208,7 +208,7 @@
         """
         if self.caller.workspace is None:
             return
-        workspace = self.view.table.holder(self.caller.api_key)
+        workspace = self.view.table.workspace_of_key(self.caller.api_key)
         if workspace is None or not self.view.has_valid_lease():
             kind = Kind.UNKNOWN_KEY if workspace is None else Kind.NO_LEASE
             if self.may_have_run:
@@ -291,7 +291,7 @@
                 response = await self.delivery.relay(
                     upstream, tracked.finish_prefill
                 )
-        self.view.health_of(endpoint).succeeded(time.monotonic())
+        self.view.health_of(endpoint).record_success(time.monotonic())
         return response
 
     @contextmanager
@@ -359,7 +359,7 @@
             self.may_have_run = self.may_have_run_before
         if error.outcome is SendOutcome.NOT_SENT:
             if self._is_endpoint_fault(error):
-                health.failed(now)
+                health.record_failure(now)
             self.connect_failures += 1
             if self.connect_failures < MAX_CONNECT_ATTEMPTS:
                 return
@@ -367,7 +367,7 @@
         self.sends += 1
         if error.outcome is SendOutcome.BROKEN:
             if not error.reason.startswith("status"):
-                health.failed(now)
+                health.record_failure(now)
             if not self.caller.may_repeat:
                 raise FleetError(self._attempts_failure(error))
         if self.sends >= self.caller.route.max_attempts:
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -118,7 +118,7 @@
             listener()
 
     def _merge(self, registration: Registration, now: float) -> None:
-        held = self.registrations.known.get(registration.endpoint)
+        held = self.registrations.by_endpoint.get(registration.endpoint)
         if not self.registrations.merge(registration, now):
             return
         if held is None or held.born != registration.born:
@@ -165,15 +165,15 @@
 
     def _is_healthy(self, registration: Registration, now: float) -> bool:
         health = self.health_of(registration.endpoint)
-        if health.is_paused(now):
+        if health.is_backing_off(now):
             return False
-        if now - health.succeeded_at < RECENT_SUCCESS_SECONDS:
+        if now - health.last_success_at < RECENT_SUCCESS_SECONDS:
             return True
         return not self.is_unresponsive(registration.endpoint, now)
 
     def is_still_ready(self, registration: Registration) -> bool:
         """Whether a chosen endpoint may still receive new requests."""
-        held = self.registrations.known.get(registration.endpoint)
+        held = self.registrations.by_endpoint.get(registration.endpoint)
         return (
             held is not None
             and held.state is EndpointState.READY
--- a/packages/fleet/tests/gateway/test_request_run.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -101,4 +101,4 @@
         await run.run_to_completion()
     assert caught.value.failure.kind is Kind.NO_ENDPOINT
     health = view.health_of("e0")
-    assert health.is_paused(time.monotonic()) is not is_late
+    assert health.is_backing_off(time.monotonic()) is not is_late
