--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -192,7 +192,7 @@
     counts = [1000, 2000, 4000, 8000]
     sizes = []
     for n in counts:
-        update = _build_directory(n).update("", 0, 0.0, "agent")
+        update = _build_directory(n).changes_since("", 0, 0.0, "agent")
         sizes.append((n, len(msgspec.json.encode(update))))
     return [
         *memory_fit("control, per endpoint", _build_directory, counts),
--- a/packages/coordination/src/marjoramyard/coordination/consensus/core.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/core.py
@@ -14,7 +14,7 @@
     VoteReply,
     VoteRequest,
 )
-from marjoramyard.coordination.consensus.replica import NOBODY, Role
+from marjoramyard.coordination.consensus.replica import NO_REPLICA, Role
 
 
 class RaftCore(Elections):
@@ -38,22 +38,22 @@
         if not self._membership_is_committed() or not membership.voters:
             return None
         data = msgspec.json.encode(membership).decode()
-        return self._append_own(EntryKind.MEMBERSHIP, data)
+        return self._append_as_leader(EntryKind.MEMBERSHIP, data)
 
     def tick(self) -> None:
         """One unit of time has passed."""
         self.ticks += 1
         if self.role is Role.LEADER:
             self._tick_leader()
-        elif self.ticks >= self.deadline:
+        elif self.ticks >= self.election_tick:
             self._reset_deadline()
             if self.is_voter:
                 self._campaign(pre=True)
 
     def _tick_leader(self) -> None:
-        if self.ticks % self.timings.heartbeat == 0:
+        if self.ticks % self.timings.heartbeat_ticks == 0:
             self._broadcast()
-        if self.ticks % self.timings.election == 0:
+        if self.ticks % self.timings.election_ticks == 0:
             self._check_quorum()
 
     def _check_quorum(self) -> None:
@@ -62,25 +62,26 @@
         A leader that is cut off would go on taking proposals that can never
         commit, and its callers would wait; it must notice by itself.
         """
-        since = self.ticks - self.timings.election
+        since = self.ticks - self.timings.election_ticks
         heard = sum(
             1
             for replica in self.membership.voters
-            if replica == self.me or self.progress[replica].heard > since
+            if replica == self.replica_id
+            or self.progress[replica].last_reply_tick > since
         )
         if heard < self.membership.quorum:
-            self._become_follower(self.term, NOBODY)
+            self._become_follower(self.term, NO_REPLICA)
 
     def propose(self, data: str) -> int | None:
         """Appends a command; returns its index, or None if not leader."""
         if self.role is not Role.LEADER:
             return None
-        return self._append_own(EntryKind.COMMAND, data)
+        return self._append_as_leader(EntryKind.COMMAND, data)
 
     def transfer_leadership(self) -> bool:
         """Hands over to the member that has most of the log."""
         others = (
-            [r for r in self.membership.voters if r != self.me]
+            [r for r in self.membership.voters if r != self.replica_id]
             if self.role is Role.LEADER
             else []
         )
@@ -97,7 +98,7 @@
         to its old id must not reach it: it has forgotten its old votes, and
         voting again in the same term could elect two leaders.
         """
-        if envelope.receiver != self.me:
+        if envelope.receiver != self.replica_id:
             return
         sender, message = envelope.sender, envelope.message
         if isinstance(message, VoteRequest):
@@ -111,7 +112,7 @@
                 self._send(sender, AppendReply(self.term, False, 0))
             return
         if message.term > self.term:
-            self._become_follower(message.term, NOBODY)
+            self._become_follower(message.term, NO_REPLICA)
         if isinstance(message, Append):
             self._on_append(sender, message)
         elif isinstance(message, InstallSnapshot):
--- a/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
@@ -5,7 +5,11 @@
     VoteReply,
     VoteRequest,
 )
-from marjoramyard.coordination.consensus.replica import NOBODY, Progress, Role
+from marjoramyard.coordination.consensus.replica import (
+    NO_REPLICA,
+    Progress,
+    Role,
+)
 from marjoramyard.coordination.consensus.replication import Replication
 from marjoramyard.kernel.ids import ReplicaId
 
@@ -19,12 +23,12 @@
         The pre-vote keeps a replica that comes back from a cut from raising
         the term and so deposing a leader that serves everybody else.
         """
-        self.leader = NOBODY
+        self.leader = NO_REPLICA
         self.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
         if not pre:
             self.term += 1
-            self.vote = self.me
-        self.votes = {self.me: True}
+            self.vote = self.replica_id
+        self.votes = {self.replica_id: True}
         request = VoteRequest(
             self.term + 1 if pre else self.term,
             self.log.last_index,
@@ -33,14 +37,14 @@
             transfer,
         )
         for replica in self.membership.voters:
-            if replica != self.me:
+            if replica != self.replica_id:
                 self._send(replica, request)
         self._count_votes()
 
     def _on_vote_request(self, sender: ReplicaId, request: VoteRequest) -> None:
-        since = self.ticks - self.heard_leader
+        since = self.ticks - self.leader_contact_tick
         has_leader = self.role is Role.LEADER or (
-            self.leader != NOBODY and since < self.timings.election
+            self.leader != NO_REPLICA and since < self.timings.election_ticks
         )
         if has_leader and not request.transfer:
             # Someone cut off from our leader must not depose it.
@@ -48,7 +52,7 @@
                 self._send(sender, VoteReply(self.term, False, request.pre))
             return
         if not request.pre and request.term > self.term:
-            self._become_follower(request.term, NOBODY)
+            self._become_follower(request.term, NO_REPLICA)
         up_to_date = (request.last_term, request.last_index) >= (
             self.log.last_term,
             self.log.last_index,
@@ -58,7 +62,7 @@
             term = request.term if granted else self.term
             self._send(sender, VoteReply(term, granted, True))
             return
-        free = self.vote in (NOBODY, sender)
+        free = self.vote in (NO_REPLICA, sender)
         granted = request.term == self.term and free and up_to_date
         if granted:
             self.vote = sender
@@ -67,7 +71,7 @@
 
     def _on_vote_reply(self, sender: ReplicaId, reply: VoteReply) -> None:
         if not reply.granted and reply.term > self.term:
-            self._become_follower(reply.term, NOBODY)
+            self._become_follower(reply.term, NO_REPLICA)
             return
         expected = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
         term = self.term + 1 if reply.pre else self.term
@@ -89,13 +93,15 @@
 
     def _become_leader(self) -> None:
         self.role = Role.LEADER
-        self.leader = self.me
+        self.leader = self.replica_id
         self.round = 0
-        self.wants_round = False
+        self.round_requested = False
         self.progress = {
-            replica: Progress(next=self.log.last_index + 1, heard=self.ticks)
+            replica: Progress(
+                next=self.log.last_index + 1, last_reply_tick=self.ticks
+            )
             for replica in self.membership.members
         }
-        self.term_start = self.log.last_index + 1
-        self._append_own(EntryKind.NOOP, "")
+        self.term_start_index = self.log.last_index + 1
+        self._append_as_leader(EntryKind.NOOP, "")
         self._broadcast()
--- a/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
@@ -180,7 +180,7 @@
         committed: To be applied.
     """
 
-    hard: HardState | None
+    hard_state: HardState | None
     snapshot: Snapshot | None
     entries: list[LogEntry]
     messages: list[Envelope]
@@ -190,7 +190,7 @@
     def is_empty(self) -> bool:
         """There is nothing to do."""
         return not (
-            self.hard
+            self.hard_state
             or self.snapshot
             or self.entries
             or self.messages
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
@@ -19,7 +19,7 @@
 )
 from marjoramyard.kernel.ids import ReplicaId
 
-NOBODY = ReplicaId("")
+NO_REPLICA = ReplicaId("")
 
 
 class Role(Enum):
@@ -43,10 +43,10 @@
             started and has not heard a leader yet; 0 for no such haste.
     """
 
-    election: int = 10
-    heartbeat: int = 2
-    max_batch: int = 256
-    first_election: int = 0
+    election_ticks: int = 10
+    heartbeat_ticks: int = 2
+    max_batch_entries: int = 256
+    first_election_ticks: int = 0
 
 
 class Progress(msgspec.Struct):
@@ -61,7 +61,7 @@
 
     match: int = 0
     next: int = 1
-    heard: int = 0
+    last_reply_tick: int = 0
     round: int = 0
 
 
@@ -70,34 +70,34 @@
 
     def __init__(
         self,
-        me: ReplicaId,
+        replica_id: ReplicaId,
         stored: StoredState,
         timings: RaftTimings,
         rng: random.Random,
     ):
-        self.me = me
+        self.replica_id = replica_id
         self.timings = timings
         self.rng = rng
         self.term = stored.hard.term
         self.vote = stored.hard.vote
         self.log = ReplicatedLog(stored.snapshot, stored.entries)
         self.synced_index = self.log.last_index
-        self.commit = stored.snapshot.index
-        self.applied = stored.snapshot.index
+        self.commit_index = stored.snapshot.index
+        self.applied_index = stored.snapshot.index
         self.role = Role.FOLLOWER
-        self.leader = NOBODY
+        self.leader = NO_REPLICA
         self.ticks = 0
-        self.heard_leader = -timings.election
-        self.deadline = 0
+        self.leader_contact_tick = -timings.election_ticks
+        self.election_tick = 0
         self.votes: dict[ReplicaId, bool] = {}
         self.progress: dict[ReplicaId, Progress] = {}
-        self.term_start = 0
+        self.term_start_index = 0
         self.round = 0
-        self.wants_round = False
+        self.round_requested = False
         self.outbox: list[Envelope] = []
-        self.hard_written = stored.hard
-        self.install: Snapshot | None = None
-        self.write_from = self.log.last_index + 1
+        self.written_hard_state = stored.hard
+        self.pending_snapshot: Snapshot | None = None
+        self.first_unwritten = self.log.last_index + 1
         self.membership = self._latest_membership()
         self._reset_deadline()
 
@@ -109,21 +109,21 @@
         return self.log.snapshot.membership
 
     def _membership_is_committed(self) -> bool:
-        after = self.log.between(self.commit, self.log.last_index)
+        after = self.log.between(self.commit_index, self.log.last_index)
         return all(e.kind is not EntryKind.MEMBERSHIP for e in after)
 
     @property
     def is_voter(self) -> bool:
         """Whether this replica may stand for election."""
-        return self.me in self.membership.voters
+        return self.replica_id in self.membership.voters
 
     def _reset_deadline(self) -> None:
-        least = self.timings.election
-        if self._may_be_hasty():
-            least = self.timings.first_election
-        self.deadline = self.ticks + self.rng.randint(least, 2 * least)
+        least = self.timings.election_ticks
+        if self._uses_first_election_timeout():
+            least = self.timings.first_election_ticks
+        self.election_tick = self.ticks + self.rng.randint(least, 2 * least)
 
-    def _may_be_hasty(self) -> bool:
+    def _uses_first_election_timeout(self) -> bool:
         """Whether there is likely no leader at all, as after a power loss.
 
         All hosts are back at once then, and each waits in vain to hear a
@@ -131,27 +131,27 @@
         after all, those who hear it turn the pre-vote down, so haste can't
         depose it.
         """
-        never_heard = self.heard_leader < 0
+        never_heard = self.leader_contact_tick < 0
         return (
-            self.timings.first_election > 0
+            self.timings.first_election_ticks > 0
             and never_heard
-            and self.ticks < 2 * self.timings.election
+            and self.ticks < 2 * self.timings.election_ticks
         )
 
     def _become_follower(self, term: int, leader: ReplicaId) -> None:
         if term > self.term:
             self.term = term
-            self.vote = NOBODY
+            self.vote = NO_REPLICA
         self.role = Role.FOLLOWER
         self.leader = leader
-        self.wants_round = False
+        self.round_requested = False
         self._reset_deadline()
 
-    def _write(self, entries: list[LogEntry]) -> None:
+    def _append_to_log(self, entries: list[LogEntry]) -> None:
         first = entries[0].index
         replaces = first <= self.log.last_index
         self.log.append(entries)
-        self.write_from = min(self.write_from, first)
+        self.first_unwritten = min(self.first_unwritten, first)
         self.synced_index = min(self.synced_index, first - 1)
         if replaces or any(e.kind is EntryKind.MEMBERSHIP for e in entries):
             # Looked for only then: the log may hold thousands of entries.
@@ -159,19 +159,22 @@
         if self.role is Role.LEADER:
             for replica in self.membership.members:
                 self.progress.setdefault(
-                    replica, Progress(next=first, heard=self.ticks)
+                    replica, Progress(next=first, last_reply_tick=self.ticks)
                 )
 
     def _send(self, receiver: ReplicaId, message: Message) -> None:
-        self.outbox.append(Envelope(self.me, receiver, message))
+        self.outbox.append(Envelope(self.replica_id, receiver, message))
 
     def _commit_to(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.commit = index
-        if self.role is Role.LEADER and self.me not in self.membership.voters:
+        self.commit_index = index
+        if (
+            self.role is Role.LEADER
+            and self.replica_id not in self.membership.voters
+        ):
             if self._membership_is_committed():
-                self._become_follower(self.term, NOBODY)
+                self._become_follower(self.term, NO_REPLICA)
 
     def compact(self, index: int, data: str) -> Snapshot:
         """Replaces the log up to `index`, which is applied, by a state."""
@@ -187,17 +190,19 @@
     def take_ready(self) -> Ready:
         """Returns what the driver must do, and counts it as taken."""
         hard = HardState(self.term, self.vote)
-        entries = self.log.between(self.write_from - 1, self.log.last_index)
+        entries = self.log.between(
+            self.first_unwritten - 1, self.log.last_index
+        )
         ready = Ready(
-            hard if hard != self.hard_written else None,
-            self.install,
+            hard if hard != self.written_hard_state else None,
+            self.pending_snapshot,
             entries,
             self.outbox,
-            self.log.between(self.applied, self.commit),
+            self.log.between(self.applied_index, self.commit_index),
         )
-        self.hard_written = hard
-        self.install = None
-        self.write_from = self.log.last_index + 1
+        self.written_hard_state = hard
+        self.pending_snapshot = None
+        self.first_unwritten = self.log.last_index + 1
         self.outbox = []
-        self.applied = self.commit
+        self.applied_index = self.commit_index
         return ready
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
@@ -18,27 +18,27 @@
     def is_caught_up(self, replica: ReplicaId) -> bool:
         """Whether a member has synced all that is committed."""
         progress = self.progress.get(replica)
-        return progress is not None and progress.match >= self.commit
+        return progress is not None and progress.match >= self.commit_index
 
     def flush(self) -> None:
         """Sends what was proposed; one append carries a whole batch."""
         if self.role is Role.LEADER:
             for replica in self.membership.members:
-                if replica != self.me:
+                if replica != self.replica_id:
                     progress = self.progress[replica]
                     if progress.next <= self.log.last_index:
                         self._send_append(replica)
 
-    def _append_own(self, kind: EntryKind, data: str) -> int | None:
+    def _append_as_leader(self, kind: EntryKind, data: str) -> int | None:
         if self.role is not Role.LEADER:
             return None
         index = self.log.last_index + 1
-        self._write([LogEntry(index, self.term, kind, data)])
+        self._append_to_log([LogEntry(index, self.term, kind, data)])
         return index
 
     def _broadcast(self) -> None:
         for replica in self.membership.members:
-            if replica != self.me:
+            if replica != self.replica_id:
                 self._send_append(replica)
 
     def _send_append(self, replica: ReplicaId) -> None:
@@ -52,31 +52,42 @@
             )
             progress.next = snapshot.index + 1
             return
-        upto = min(self.log.last_index, previous + self.timings.max_batch)
+        upto = min(
+            self.log.last_index, previous + self.timings.max_batch_entries
+        )
         entries = self.log.between(previous, upto)
         self._send(
             replica,
-            Append(self.term, previous, term, entries, self.commit, self.round),
+            Append(
+                self.term,
+                previous,
+                term,
+                entries,
+                self.commit_index,
+                self.round,
+            ),
         )
         # Assume that it arrives; a reply that says otherwise sets it back.
         progress.next = upto + 1
 
-    def _follow(self, leader: ReplicaId) -> None:
+    def _follow_leader(self, leader: ReplicaId) -> None:
         self.role = Role.FOLLOWER
         self.leader = leader
-        self.heard_leader = self.ticks
+        self.leader_contact_tick = self.ticks
         self._reset_deadline()
 
     def _on_append(self, sender: ReplicaId, message: Append) -> None:
-        self._follow(sender)
+        self._follow_leader(sender)
         previous = message.prev_index
-        if previous < self.commit:
+        if previous < self.commit_index:
             # Below our commit everything agrees already.
-            entries = [e for e in message.entries if e.index > self.commit]
-            previous = min(self.commit, previous + len(message.entries))
+            entries = [
+                e for e in message.entries if e.index > self.commit_index
+            ]
+            previous = min(self.commit_index, previous + len(message.entries))
         elif self.log.term_at(previous) != message.prev_term:
             hint = min(self.log.last_index, previous - 1)
-            hint = max(hint, self.commit)
+            hint = max(hint, self.commit_index)
             self._send(
                 sender, AppendReply(self.term, False, hint, message.round)
             )
@@ -86,7 +97,7 @@
         while entries and self.log.term_at(entries[0].index) == entries[0].term:
             previous = entries.pop(0).index
         if entries:
-            self._write(entries)
+            self._append_to_log(entries)
             previous = entries[-1].index
         self._commit_to(min(message.commit, previous))
         self._send(
@@ -94,24 +105,27 @@
         )
 
     def _on_snapshot(self, sender: ReplicaId, message: InstallSnapshot) -> None:
-        self._follow(sender)
+        self._follow_leader(sender)
         snapshot = message.snapshot
         if self.log.term_at(snapshot.index) == snapshot.term:
             # We have that entry. Dropping what follows it would take back
             # entries that we acknowledged and that may be committed.
             self._commit_to(snapshot.index)
-        elif snapshot.index > self.commit:
+        elif snapshot.index > self.commit_index:
             self.log = ReplicatedLog(snapshot, [])
-            self.commit = snapshot.index
-            self.applied = snapshot.index
+            self.commit_index = snapshot.index
+            self.applied_index = snapshot.index
             self.synced_index = snapshot.index
-            self.write_from = snapshot.index + 1
-            self.install = snapshot
+            self.first_unwritten = snapshot.index + 1
+            self.pending_snapshot = snapshot
             self.membership = snapshot.membership
         self._send(
             sender,
             AppendReply(
-                self.term, True, max(self.commit, snapshot.index), message.round
+                self.term,
+                True,
+                max(self.commit_index, snapshot.index),
+                message.round,
             ),
         )
 
@@ -119,7 +133,7 @@
         progress = self.progress.get(sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        progress.heard = self.ticks
+        progress.last_reply_tick = self.ticks
         progress.round = max(progress.round, reply.round)
         if reply.success:
             progress.match = max(progress.match, reply.match)
@@ -135,7 +149,7 @@
     def _advance_commit(self) -> None:
         matches = sorted(
             self.synced_index
-            if replica == self.me
+            if replica == self.replica_id
             else self.progress[replica].match
             for replica in self.membership.voters
         )
@@ -152,17 +166,19 @@
         request, so an answer given then can't come from a leader that had
         been replaced before it was asked.
         """
-        self.wants_round = True
+        self.round_requested = True
         self._start_round_if_idle()
-        return self.round if not self.wants_round else self.round + 1
+        return self.round if not self.round_requested else self.round + 1
 
     @property
     def confirmed_round(self) -> int:
         """The newest round that a quorum has echoed."""
         rounds = sorted(
-            self.round if replica == self.me else self.progress[replica].round
+            self.round
+            if replica == self.replica_id
+            else self.progress[replica].round
             for replica in self.membership.voters
-            if replica == self.me or replica in self.progress
+            if replica == self.replica_id or replica in self.progress
         )
         quorum = self.membership.quorum
         return rounds[-quorum] if len(rounds) >= quorum else 0
@@ -174,17 +190,23 @@
         Before that a new leader may not know all that its predecessor
         committed, and would answer with an older state.
         """
-        return self.role is Role.LEADER and self.commit >= self.term_start
+        return (
+            self.role is Role.LEADER
+            and self.commit_index >= self.term_start_index
+        )
 
     def _start_round_if_idle(self) -> None:
-        if self.role is Role.LEADER and self.wants_round:
+        if self.role is Role.LEADER and self.round_requested:
             if self.confirmed_round >= self.round:
-                self.wants_round = False
+                self.round_requested = False
                 self.round += 1
                 self._broadcast()
 
-    def synced(self) -> None:
+    def mark_synced(self) -> None:
         """All that the last `take_ready()` gave is on disk."""
         self.synced_index = self.log.last_index
-        if self.role is Role.LEADER and self.me in self.membership.voters:
+        if (
+            self.role is Role.LEADER
+            and self.replica_id in self.membership.voters
+        ):
             self._advance_commit()
--- a/packages/coordination/src/marjoramyard/coordination/governance/audit.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/audit.py
@@ -42,7 +42,7 @@
         return digest(canonical_bytes(msgspec.structs.replace(self, hash="")))
 
 
-def sealed(record: AuditRecord) -> AuditRecord:
+def with_hash(record: AuditRecord) -> AuditRecord:
     """Returns the record with its hash."""
     return msgspec.structs.replace(record, hash=record.computed_hash())
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
@@ -11,7 +11,7 @@
 from marjoramyard.coordination.serving.waiting import RequestClass
 from marjoramyard.kernel.util.canonical import canonical_bytes, digest
 
-KEY_HASH_LENGTH = 64
+KEY_HASH_HEX_DIGITS = 64
 MIN_APPROVERS = 2
 _DIGEST_BITS = 256
 
@@ -164,7 +164,7 @@
     return int(data, 16)
 
 
-class Owners:
+class OwnerIndex:
     """Who names a key; while a change is on trial, several may."""
 
     def __init__(self):
@@ -225,8 +225,8 @@
         self.services: dict[str, Service] = {}
         self.rules: dict[str, Rule] = {}
         self.policy = Policy()
-        self.workspace_of_key = Owners()
-        self.service_of_model = Owners()
+        self.workspace_of_key = OwnerIndex()
+        self.service_of_model = OwnerIndex()
         self.rules_of_service: dict[str, list[Rule]] = {}
 
     def install(self, version: int, chain: str, rows: Rows) -> None:
@@ -368,7 +368,7 @@
                     "service or remove it here"
                 )
         for key_hash in value.key_hashes:
-            if len(key_hash) != KEY_HASH_LENGTH:
+            if len(key_hash) != KEY_HASH_HEX_DIGITS:
                 yield f"{path}.key_hashes: {key_hash!r} is no SHA-256 in hex"
             elif self.workspace_of_key.is_shared(key_hash):
                 yield (
--- a/packages/coordination/src/marjoramyard/coordination/governance/commands.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/commands.py
@@ -4,7 +4,7 @@
 
 from marjoramyard.coordination.governance.ledger import (
     LedgerView,
-    StoredAnswer,
+    StoredResponse,
 )
 from marjoramyard.coordination.governance.lifecycle import (
     Change,
@@ -55,7 +55,7 @@
 
     key: str
     attempt: str
-    answer: StoredAnswer
+    answer: StoredResponse
     at: float = 0.0
 
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/directory.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/directory.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-ROW_SECONDS = 12.0
+ROW_TTL_SECONDS = 12.0
 """A process that has not announced itself for so long is taken out."""
 
 
@@ -57,11 +57,11 @@
         self.version = 0
         self.rows: dict[str, DirectoryRow] = {}
         self.versions: dict[str, int] = {}
-        self.heard_at: dict[str, float] = {}
+        self.announced_at: dict[str, float] = {}
 
     def announce(self, row: DirectoryRow, now: float) -> bool:
         """Takes in a process's word; returns whether it changed anything."""
-        self.heard_at[row.incarnation] = now
+        self.announced_at[row.incarnation] = now
         if self.rows.get(row.incarnation) == row:
             return False
         self._put(row)
@@ -77,20 +77,20 @@
     def expire(self, now: float) -> bool:
         """Takes out silent processes; forgets those long gone."""
         changed = False
-        for incarnation, heard_at in list(self.heard_at.items()):
+        for incarnation, heard_at in list(self.announced_at.items()):
             row = self.rows[incarnation]
-            if heard_at + ROW_SECONDS > now:
+            if heard_at + ROW_TTL_SECONDS > now:
                 continue
             if row.state != "gone":
                 self._put(msgspec.structs.replace(row, state="gone"))
                 changed = True
-            elif heard_at + 10 * ROW_SECONDS < now:
+            elif heard_at + 10 * ROW_TTL_SECONDS < now:
                 del self.rows[incarnation]
                 del self.versions[incarnation]
-                del self.heard_at[incarnation]
+                del self.announced_at[incarnation]
         return changed
 
-    def update(
+    def changes_since(
         self, epoch: str, version: int, now: float, role: str
     ) -> DirectoryUpdate:
         """Returns what changed since a reader's version."""
@@ -101,5 +101,5 @@
                 break
             if self.rows[incarnation].role == role:
                 found.append(self.rows[incarnation])
-        complete = now - self.started_at > ROW_SECONDS
+        complete = now - self.started_at > ROW_TTL_SECONDS
         return DirectoryUpdate(self.epoch, self.version, found, complete)
--- a/packages/coordination/src/marjoramyard/coordination/governance/lease.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/lease.py
@@ -14,12 +14,14 @@
 
     def __init__(self, seconds: float = LEASE_SECONDS):
         self.seconds = seconds
-        self.until = float("-inf")
+        self.valid_until = float("-inf")
 
-    def renewed(self, sent_at: float, seconds: float) -> None:
+    def renew(self, sent_at: float, seconds: float) -> None:
         """Takes in a renewal of a request that was sent at `sent_at`."""
-        self.until = max(self.until, sent_at + min(seconds, self.seconds))
+        self.valid_until = max(
+            self.valid_until, sent_at + min(seconds, self.seconds)
+        )
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Returns whether new work may be taken now."""
-        return now < self.until
+        return now < self.valid_until
--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -17,7 +17,7 @@
     CANCELLED = "cancelled"
 
 
-class StoredAnswer(msgspec.Struct, frozen=True):
+class StoredResponse(msgspec.Struct, frozen=True):
     """The answer that a resend gets; the body is None if it was too large."""
 
     status: int
@@ -38,7 +38,7 @@
     body_digest: str
     epoch: int
     attempt: str
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 class LedgerView(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -51,7 +51,7 @@
     epoch: int = 0
     state: CallState | None = None
     attempt: str = ""
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     refusal: Failure | None = None
 
 
@@ -109,7 +109,9 @@
             return self._view(entry)
         return self._view(entry, _cancelled())
 
-    def done(self, key: str, attempt: str, answer: StoredAnswer) -> LedgerView:
+    def finish(
+        self, key: str, attempt: str, answer: StoredResponse
+    ) -> LedgerView:
         """Stores the answer of the attempt that started."""
         entry = self.entries.get(key)
         if entry is None or entry.attempt != attempt:
@@ -174,7 +176,7 @@
     )
 
 
-def verdict(view: LedgerView, attempt: str) -> Outcome:
+def outcome_after_cancel(view: LedgerView, attempt: str) -> Outcome:
     """Returns what may be told of an attempt after a cancel."""
     if view.state is CallState.CANCELLED:
         return Outcome.NOT_RUN
--- a/packages/coordination/src/marjoramyard/coordination/governance/lifecycle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/lifecycle.py
@@ -9,7 +9,7 @@
 from marjoramyard.coordination.governance.audit import (
     GENESIS,
     AuditRecord,
-    sealed,
+    with_hash,
 )
 from marjoramyard.coordination.governance.bundle import (
     BundleView,
@@ -19,9 +19,9 @@
 from marjoramyard.kernel.errors import Failure, Kind, failure
 from marjoramyard.kernel.util.canonical import canonical_bytes, digest
 
-DELTAS_KEPT = 1000
+MAX_DELTAS = 1000
 """A router further behind gets a snapshot."""
-CHANGES_KEPT = 50_000
+MAX_CHANGE_RECORDS = 50_000
 """An older change resent has an old base version, so it is refused still."""
 
 
@@ -201,7 +201,7 @@
         state.deltas.append(
             Delta(state.version, state.chain, change.put, change.remove)
         )
-        del state.deltas[:-DELTAS_KEPT]
+        del state.deltas[:-MAX_DELTAS]
         record.state = ChangeState.ROLLED
         record.version = state.version
         record.change = None
@@ -267,7 +267,7 @@
         return None
 
     def _forget_oldest(self) -> None:
-        while len(self.state.changes) > CHANGES_KEPT:
+        while len(self.state.changes) > MAX_CHANGE_RECORDS:
             oldest = next(iter(self.state.changes))
             del self.state.changes[oldest]
 
@@ -284,7 +284,7 @@
     ) -> None:
         trail = self.state.audit
         trail.append(
-            sealed(
+            with_hash(
                 AuditRecord(
                     number=len(trail) + 1,
                     at=at,
--- a/packages/coordination/src/marjoramyard/coordination/governance/orders.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/orders.py
@@ -24,26 +24,27 @@
     """
 
     def __init__(self):
-        self.newest = 0
-        self.learned = False
+        self.highest_seen = 0
+        self.has_observed = False
 
-    def learn(self, number: int) -> None:
+    def observe(self, number: int) -> None:
         """Takes in the newest number from a confirmed leader."""
-        self.newest = max(self.newest, number)
-        self.learned = True
+        self.highest_seen = max(self.highest_seen, number)
+        self.has_observed = True
 
     def admit(self, number: int) -> Failure | None:
         """Returns why an order must not pass, or None."""
-        if not self.learned:
+        if not self.has_observed:
             return failure(
                 Kind.STALE_ORDER,
                 "the newest number is not known yet after a restart; it is "
                 "learned with the next lease",
             )
-        if number < self.newest:
+        if number < self.highest_seen:
             return failure(
                 Kind.STALE_ORDER,
-                f"order {number} is older than {self.newest}; issue it again",
+                f"order {number} is older than {self.highest_seen}; issue it "
+                "again",
             )
-        self.newest = number
+        self.highest_seen = number
         return None
--- a/packages/coordination/src/marjoramyard/coordination/governance/state.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/state.py
@@ -80,15 +80,15 @@
             self.now,
             self.bundles.state,
             self.ledger.entries,
-            self.suspects.known,
-            self.suspects.deaths,
+            self.suspects.records,
+            self.suspects.death_reports,
             self.orders,
             self.last_order,
             self.config,
         )
         return msgspec.json.encode(stored).decode()
 
-    def apply_text(self, data: str) -> Reply:
+    def apply_encoded(self, data: str) -> Reply:
         """Applies a command as the log holds it."""
         return self.apply(_COMMAND_DECODER.decode(data))
 
@@ -151,7 +151,7 @@
 @HANDLERS.register("FinishCall")
 def _finish_call(state: ControlState, command: FinishCall) -> Reply:
     return Reply(
-        call=state.ledger.done(command.key, command.attempt, command.answer)
+        call=state.ledger.finish(command.key, command.attempt, command.answer)
     )
 
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/suspects.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/suspects.py
@@ -45,13 +45,13 @@
     ends well is cleared.
     """
 
-    def __init__(self, known: dict[str, Suspect], deaths: list[str]):
-        self.known = known
-        self.deaths = deaths
+    def __init__(self, records: dict[str, Suspect], death_reports: list[str]):
+        self.records = records
+        self.death_reports = death_reports
 
     def standing(self, fingerprint: str, at: float) -> Standing:
         """Returns what holds for a fingerprint now."""
-        suspect = self.known.get(fingerprint)
+        suspect = self.records.get(fingerprint)
         if suspect is None:
             return Standing.CLEAR
         if suspect.convicted_until > at:
@@ -75,7 +75,7 @@
         for fingerprint in fingerprints:
             if not self._is_news(f"{death_id} {fingerprint}"):
                 continue
-            suspect = self.known.setdefault(fingerprint, Suspect(0, at))
+            suspect = self.records.setdefault(fingerprint, Suspect(0, at))
             suspect.deaths += 1
             suspect.last_at = at
             suspect.held_by = ""
@@ -85,15 +85,15 @@
         return convicted
 
     def _is_news(self, report: str) -> bool:
-        if report in self.deaths:
+        if report in self.death_reports:
             return False
-        self.deaths.append(report)
-        del self.deaths[:-_DEATHS_REMEMBERED]
+        self.death_reports.append(report)
+        del self.death_reports[:-_DEATHS_REMEMBERED]
         return True
 
     def hold(self, fingerprint: str, agent: str, at: float) -> bool:
         """Lets one agent at a time run a suspect."""
-        suspect = self.known.get(fingerprint)
+        suspect = self.records.get(fingerprint)
         if suspect is None:
             return True
         if suspect.convicted_until > at:
@@ -106,19 +106,19 @@
 
     def release(self, fingerprint: str, agent: str, clear: bool) -> None:
         """Ends a hold; a request that ended well is cleared."""
-        suspect = self.known.get(fingerprint)
+        suspect = self.records.get(fingerprint)
         if suspect is None or suspect.held_by != agent:
             return
         suspect.held_by = ""
         if clear:
-            del self.known[fingerprint]
+            del self.records[fingerprint]
 
     def _forget(self, at: float) -> None:
         old = [
             fingerprint
-            for fingerprint, suspect in self.known.items()
+            for fingerprint, suspect in self.records.items()
             if max(suspect.last_at + _SUSPECT_SECONDS, suspect.convicted_until)
             < at
         ]
         for fingerprint in old:
-            del self.known[fingerprint]
+            del self.records[fingerprint]
--- a/packages/coordination/tests/consensus/replica_network.py
+++ b/packages/coordination/tests/consensus/replica_network.py
@@ -16,7 +16,12 @@
 )
 from marjoramyard.coordination.consensus.replica import RaftTimings, Role
 
-TIMINGS = RaftTimings(election=6, heartbeat=2, max_batch=3, first_election=2)
+TIMINGS = RaftTimings(
+    election_ticks=6,
+    heartbeat_ticks=2,
+    max_batch_entries=3,
+    first_election_ticks=2,
+)
 
 
 class Replica:
@@ -46,18 +51,18 @@
             disk.snapshot = ready.snapshot
             disk.entries = []
             self.applied = msgspec.json.decode(ready.snapshot.data or "[]")
-        if ready.hard is not None:
-            disk.hard = ready.hard
+        if ready.hard_state is not None:
+            disk.hard = ready.hard_state
         if ready.entries:
             log = ReplicatedLog(disk.snapshot, disk.entries)
             log.append(ready.entries)
             disk.entries = log.entries
 
     def compact(self):
-        if self.core.applied <= self.core.log.snapshot.index:
+        if self.core.applied_index <= self.core.log.snapshot.index:
             return
         data = msgspec.json.encode(self.applied).decode()
-        snapshot = self.core.compact(self.core.applied, data)
+        snapshot = self.core.compact(self.core.applied_index, data)
         self.disk.snapshot = snapshot
         self.disk.entries = list(self.core.log.entries)
 
@@ -92,7 +97,7 @@
                 self.crash(name)
                 return
             replica.sync(ready)
-            replica.core.synced()
+            replica.core.mark_synced()
             self.messages += ready.messages
             self.check_votes(ready.messages)
             for entry in ready.committed:
--- a/packages/coordination/tests/consensus/test_consensus_properties.py
+++ b/packages/coordination/tests/consensus/test_consensus_properties.py
@@ -145,11 +145,11 @@
         self.net.settle(60)
         leader = self.net.leader()
         assert leader is not None
-        before = leader.core.commit
+        before = leader.core.commit_index
         self.net.propose()
         self.net.settle(20)
         leader = self.net.leader()
-        assert leader.core.commit > before
+        assert leader.core.commit_index > before
         held = {index: (t, d) for index, t, d in leader.applied}
         assert all(held[i] == v for i, v in self.net.committed.items())
 
--- a/packages/coordination/tests/consensus/test_consensus_safeguards.py
+++ b/packages/coordination/tests/consensus/test_consensus_safeguards.py
@@ -30,7 +30,7 @@
     stored = StoredState(HardState(term), BASE, list(entries))
     core = RaftCore("a", stored, TIMINGS, random.Random(1))
     if commit:
-        core.commit = core.applied = commit
+        core.commit_index = core.applied_index = commit
     return core
 
 
@@ -43,7 +43,7 @@
     core.receive(Envelope("b", "a", VoteReply(core.term, True)))
     assert core.role is Role.LEADER
     core.take_ready()
-    core.synced()
+    core.mark_synced()
 
 
 def reply(core, index, sender="b"):
@@ -81,9 +81,9 @@
     core = make_core([entry(2, 2)], term=3)
     elect(core)
     reply(core, 2)
-    assert core.commit == 1
+    assert core.commit_index == 1
     reply(core, 3)
-    assert core.commit == 3
+    assert core.commit_index == 3
 
 
 def test_a_late_snapshot_takes_back_no_acknowledged_entry():
@@ -110,9 +110,9 @@
     core.flush()
     core.take_ready()
     reply(core, index)
-    assert core.commit < index
-    core.synced()
-    assert core.commit == index
+    assert core.commit_index < index
+    core.mark_synced()
+    assert core.commit_index == index
 
 
 def test_a_learner_that_lacks_entries_gets_no_vote():
@@ -149,7 +149,7 @@
     assert core.change_membership(two) is None
     reply(core, core.log.last_index)
     reply(core, core.log.last_index, "c")
-    core.synced()
+    core.mark_synced()
     two = core.membership.with_learner("e", "e").promoted("e")
     assert core.change_membership(two) is not None
 
@@ -206,8 +206,8 @@
         for name in list(net.replicas):
             net.restart(name)
         taken.append(rounds_until_a_leader(net))
-    assert sorted(taken)[10] < TIMINGS.election
-    assert max(taken) < 2 * TIMINGS.election
+    assert sorted(taken)[10] < TIMINGS.election_ticks
+    assert max(taken) < 2 * TIMINGS.election_ticks
 
 
 def test_a_replica_that_starts_in_haste_deposes_nobody():
@@ -226,7 +226,7 @@
         net.crash(follower)
         net.settle(rounds=2)
         net.restart(follower)
-        for _ in range(2 * TIMINGS.first_election):
+        for _ in range(2 * TIMINGS.first_election_ticks):
             net.tick(follower)
         net.settle()
         assert net.leader().name == leader.name
--- a/packages/coordination/tests/governance/test_ledger_properties.py
+++ b/packages/coordination/tests/governance/test_ledger_properties.py
@@ -7,14 +7,14 @@
 from marjoramyard.coordination.governance.ledger import (
     CallState,
     Ledger,
-    StoredAnswer,
-    verdict,
+    StoredResponse,
+    outcome_after_cancel,
 )
 from marjoramyard.kernel.errors import Kind, Outcome
 
 KEY, DIGEST = "1:w:key", "digest"
 _pick = st.integers(0, 20)
-ANSWER = StoredAnswer(201, [], None, "x")
+ANSWER = StoredResponse(201, [], None, "x")
 
 
 class LedgerMachine(RuleBasedStateMachine):
@@ -65,7 +65,7 @@
     def agent_has_the_answer(self, pick):
         if self.sent:
             name = self.sent[pick % len(self.sent)]
-            self.ledger.done(KEY, name, ANSWER)
+            self.ledger.finish(KEY, name, ANSWER)
 
     @rule(pick=_pick)
     def entry_gives_up(self, pick):
@@ -73,7 +73,7 @@
         if name is None:
             return
         view = self.ledger.cancel(KEY, DIGEST, name, self.epochs[name], 10)
-        if verdict(view, name) is Outcome.NOT_RUN:
+        if outcome_after_cancel(view, name) is Outcome.NOT_RUN:
             self.told_not_run.add(name)
 
     @invariant()
--- a/packages/ctl/tests/test_auditing.py
+++ b/packages/ctl/tests/test_auditing.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from marjoramyard.coordination.governance.audit import GENESIS, sealed
+from marjoramyard.coordination.governance.audit import GENESIS, with_hash
 from marjoramyard.coordination.governance.lifecycle import (
     BundleLifecycle,
     Change,
@@ -47,7 +47,7 @@
     previous = GENESIS
     for number, record in enumerate(records):
         linked = msgspec.structs.replace(record, previous=previous, hash="")
-        records[number] = sealed(linked)
+        records[number] = with_hash(linked)
         previous = records[number].hash
     return records
 
--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -9,7 +9,10 @@
     FinishCall,
     StartCall,
 )
-from marjoramyard.coordination.governance.ledger import CallState, StoredAnswer
+from marjoramyard.coordination.governance.ledger import (
+    CallState,
+    StoredResponse,
+)
 from marjoramyard.fleet.agent.attempts import Attempt
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.util.control_client import ControlClient
@@ -48,7 +51,7 @@
     stored = None
     if len(body) <= MAX_STORED_BYTES:
         stored = base64.b64encode(body).decode()
-    answer = StoredAnswer(
+    answer = StoredResponse(
         attempt.status,
         attempt.headers,
         stored,
--- a/packages/fleet/src/marjoramyard/fleet/agent/orders.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/orders.py
@@ -29,7 +29,7 @@
 
     def learn(self, order: Order | None, newest: int) -> None:
         """Takes in what a confirmed leader says."""
-        self.guard.learn(newest)
+        self.guard.observe(newest)
         self.wanted = order
         self.wake.set()
 
--- a/packages/fleet/src/marjoramyard/fleet/control/keeper.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/keeper.py
@@ -71,7 +71,7 @@
         if role.storage is not None:
             replica = str(role.spare_id)
         if role.running is not None:
-            replica = str(role.running.core.me)
+            replica = str(role.running.core.replica_id)
             cluster = role.storage.identity.cluster
             entries = role.running.core.log.last_index
         return ControlHost(
@@ -270,7 +270,7 @@
         lost = set()
         core = self.role.running.core
         for replica, address in core.membership.addresses.items():
-            if replica == core.me:
+            if replica == core.replica_id:
                 continue
             host = self.seen.get(address)
             at = max(self.seen_at.get(address, 0.0), self.led_since)
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -29,10 +29,12 @@
 logger = get_logger(__name__)
 
 TICK_SECONDS = 0.1
-TIMINGS = RaftTimings(election=12, heartbeat=4, first_election=2)
+TIMINGS = RaftTimings(
+    election_ticks=12, heartbeat_ticks=4, first_election_ticks=2
+)
 """In ticks. Hosts that start together are there within some 0.2 s of each
 other; a vote takes two round trips and a sync, about 20 ms."""
-ELECTION_SECONDS = 2 * TIMINGS.election * TICK_SECONDS
+ELECTION_SECONDS = 2 * TIMINGS.election_ticks * TICK_SECONDS
 """The longest wait before an election; callers are told to wait as long."""
 MAX_TICKS_AT_ONCE = 3
 
@@ -173,7 +175,7 @@
         try:
             async with asyncio.timeout(timeout):
                 if await future:
-                    return Ok(self.core.applied)
+                    return Ok(self.core.applied_index)
         except TimeoutError:
             return Err(no_quorum())
         return Err(self.not_leader())
@@ -182,7 +184,7 @@
         """Returns the failure that leads a caller to the leader."""
         leader = self.core.leader
         address = self.core.membership.addresses.get(leader)
-        if leader == self.core.me:
+        if leader == self.core.replica_id:
             address = None
         reason = failure(
             Kind.NOT_LEADER,
@@ -218,7 +220,7 @@
         self.core.flush()
         while not (ready := self.core.take_ready()).is_empty:
             self._store(ready)
-            self.core.synced()
+            self.core.mark_synced()
             self.links.send(ready.messages, self.core.membership.addresses)
             self._apply(ready)
         self._settle_rounds()
@@ -230,14 +232,14 @@
             self.storage.save_snapshot(ready.snapshot, hard, [])
             self.state = ControlState.restore(ready.snapshot.data)
             logger.info("snapshot_installed", index=ready.snapshot.index)
-        if ready.hard is not None or ready.entries:
-            self.storage.write(ready.hard, ready.entries)
+        if ready.hard_state is not None or ready.entries:
+            self.storage.write(ready.hard_state, ready.entries)
 
     def _apply(self, ready: Ready) -> None:
         for entry in ready.committed:
             reply = Reply()
             if entry.kind is EntryKind.COMMAND:
-                reply = self.state.apply_text(entry.data)
+                reply = self.state.apply_encoded(entry.data)
             pending = self.pending.get(entry.index)
             if pending is not None and not pending.future.done():
                 if pending.term == entry.term:
@@ -256,7 +258,7 @@
             return
         self.applied_since_snapshot = 0
         snapshot: Snapshot = self.core.compact(
-            self.core.applied, self.state.snapshot()
+            self.core.applied_index, self.state.snapshot()
         )
         hard = HardState(self.core.term, self.core.vote)
         self.storage.save_snapshot(snapshot, hard, self.core.log.entries)
@@ -272,7 +274,10 @@
                 continue
             if not leads or core.term != reader.term:
                 reader.future.set_result(False)
-            elif confirmed >= reader.round and core.applied >= core.commit:
+            elif (
+                confirmed >= reader.round
+                and core.applied_index >= core.commit_index
+            ):
                 reader.future.set_result(True)
             else:
                 waiting.append(reader)
--- a/packages/fleet/src/marjoramyard/fleet/control/queries.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/queries.py
@@ -63,7 +63,7 @@
 
 @QUERIES.register("suspects")
 def _suspects(node: ControlNode, _: Renewals, __: str) -> Any:
-    return msgspec.to_builtins(node.state.suspects.known)
+    return msgspec.to_builtins(node.state.suspects.records)
 
 
 @QUERIES.register("ledger")
--- a/packages/fleet/src/marjoramyard/fleet/control/renewals.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewals.py
@@ -46,7 +46,7 @@
 
     def _on_leadership(self, _: bool) -> None:
         """Starts the directory anew: it is soft and comes back in seconds."""
-        epoch = new_incarnation(self.node.core.me)
+        epoch = new_incarnation(self.node.core.replica_id)
         self.directory = Directory(epoch, time.monotonic())
         self.wake()
 
@@ -66,7 +66,7 @@
         """Names the present set of suspects."""
         parts = [
             f"{fingerprint}:{suspect.convicted_until > 0}"
-            for fingerprint, suspect in self.node.state.suspects.known.items()
+            for fingerprint, suspect in self.node.state.suspects.records.items()
         ]
         return str(hash(tuple(parts))) if parts else "-"
 
@@ -155,7 +155,7 @@
         else:
             reply.deltas = deltas
         if request.row.role == "entry":
-            reply.directory = self.directory.update(
+            reply.directory = self.directory.changes_since(
                 request.directory_epoch,
                 request.directory_version,
                 time.monotonic(),
@@ -164,7 +164,7 @@
         revision = self.suspects_revision()
         reply.suspects_revision = revision
         if revision != request.suspects_revision:
-            known = state.suspects.known
+            known = state.suspects.records
             reply.suspects = list(known)
             reply.convicted = {
                 fingerprint: suspect.convicted_until - state.now
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -152,7 +152,7 @@
         self.app.tasks.spawn(self._expire_forever(self.renewals))
         logger.info(
             "replica_started",
-            replica=self.running.core.me,
+            replica=self.running.core.replica_id,
             term=self.running.core.term,
             entries=self.running.core.log.last_index,
         )
@@ -208,7 +208,7 @@
                 return []
             core = self.running.core
             return [
-                (core.commit, {"what": "commit"}),
+                (core.commit_index, {"what": "commit"}),
                 (core.log.last_index, {"what": "last"}),
                 (self.storage.syncs, {"what": "syncs"}),
                 (self.storage.bytes_written, {"what": "bytes"}),
@@ -316,15 +316,15 @@
         synced = {}
         if core.role is RaftRole.LEADER:
             synced = {r: p.match for r, p in core.progress.items()}
-            synced[core.me] = core.synced_index
+            synced[core.replica_id] = core.synced_index
         return HostStatus(
             name,
-            core.me,
+            core.replica_id,
             core.role.value,
             core.term,
             core.membership.addresses.get(core.leader, ""),
             core.log.last_index,
-            core.commit,
+            core.commit_index,
             self.running.state.bundles.state.version,
             core.membership,
             synced,
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -10,8 +10,8 @@
 from marjoramyard.coordination.governance.ledger import (
     CallState,
     LedgerView,
-    StoredAnswer,
-    verdict,
+    StoredResponse,
+    outcome_after_cancel,
 )
 from marjoramyard.fleet.entry.answers import OUTCOME_HEADER
 from marjoramyard.fleet.entry.requests import CallerRequest
@@ -83,7 +83,7 @@
         if isinstance(reply, Err):
             return Outcome.UNKNOWN
         view: LedgerView = reply.ok_value.call
-        outcome = verdict(view, attempt)
+        outcome = outcome_after_cancel(view, attempt)
         if outcome is Outcome.NOT_RUN:
             ticket.epoch = view.epoch
         return outcome
@@ -100,7 +100,7 @@
     )
 
 
-def _replay(answer: StoredAnswer | None) -> web.Response:
+def _replay(answer: StoredResponse | None) -> web.Response:
     if answer is None or answer.body is None:
         raise FleetError(
             failure(
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -66,7 +66,7 @@
 
     def lease_holds(self) -> bool:
         """Whether keys may still be taken for good."""
-        return self.lease.holds(boot_seconds())
+        return self.lease.is_valid(boot_seconds())
 
     def take(self, source: str, reply: SyncReply, sent_at: float) -> None:
         """Takes in a control host's answer.
@@ -81,7 +81,7 @@
         if reply.confirmed:
             self.broker_addresses = reply.brokers
         if reply.confirmed and self.version >= reply.version:
-            self.lease.renewed(sent_at, self.lease.seconds)
+            self.lease.renew(sent_at, self.lease.seconds)
         now = time.monotonic()
         for word in reply.words:
             self._merge(word, now)
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -73,7 +73,7 @@
 
     def holds_lease(self) -> bool:
         """Returns whether new work may be taken now."""
-        return self.lease.holds(time.monotonic()) and self.bundle.version > 0
+        return self.lease.is_valid(time.monotonic()) and self.bundle.version > 0
 
     def refusal(self) -> Failure | None:
         """Returns why no new work is taken, or None."""
@@ -163,7 +163,7 @@
             return False
         if not self._install(reply):
             return False
-        self.lease.renewed(sent_at, reply.lease_seconds)
+        self.lease.renew(sent_at, reply.lease_seconds)
         if reply.directory is not None:
             self._take_directory(reply.directory)
         if reply.suspects is not None:
--- a/packages/fleet/tests/control/test_renewals.py
+++ b/packages/fleet/tests/control/test_renewals.py
@@ -14,7 +14,7 @@
     node = SimpleNamespace(
         on_applied=[],
         on_leadership=[],
-        core=SimpleNamespace(me="control-1~a"),
+        core=SimpleNamespace(replica_id="control-1~a"),
         state=ControlState(),
     )
     return Renewals(node), node
--- a/packages/fleet/tests/gateway/test_serving.py
+++ b/packages/fleet/tests/gateway/test_serving.py
@@ -43,7 +43,7 @@
 def dispatcher():
     view = FleetView(GATEWAY_DIALECTS.get("native"), 60.0)
     view.table = RouteTable(CONFIG)
-    view.lease.renewed(boot_seconds(), 60.0)
+    view.lease.renew(boot_seconds(), 60.0)
     metrics = Metrics("gateway", "g0")
     app = SimpleNamespace(
         metrics=metrics,
@@ -87,5 +87,5 @@
 
 
 def test_no_key_is_judged_without_a_lease(dispatcher):
-    dispatcher.view.lease.until = 0.0
+    dispatcher.view.lease.valid_until = 0.0
     assert refusal(dispatcher) is None
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -80,10 +80,10 @@
     """
     router, _ = make(snapshot(5, "c5", ("new",)), snapshot(4, "c4", ("old",)))
     await router._renew_once()
-    until = router.lease.until
+    until = router.lease.valid_until
     assert not await router._renew_once()
     assert set(router.bundle.services) == {"new"}
-    assert router.lease.until == until
+    assert router.lease.valid_until == until
     assert "older_bundles_refused" in router.metrics.counts
 
 
@@ -109,7 +109,7 @@
     assert router.refusal() is None
     assert not await router._renew_once()
     assert control.passed_over == ["127.0.0.1:9001"]
-    router.lease.until -= 9.0
+    router.lease.valid_until -= 9.0
     refusal = router.refusal()
     assert refusal.kind is Kind.NO_LEASE
     assert refusal.retry_after > 0
@@ -169,7 +169,7 @@
     """It was restarted with no memory and is handed an old order."""
     guard = FencingGuard()
     assert guard.admit(3).kind is Kind.STALE_ORDER
-    guard.learn(5)
+    guard.observe(5)
     assert guard.admit(4).kind is Kind.STALE_ORDER
     assert guard.admit(5) is None
 
