--- a/packages/coordination/src/marjoramyard/coordination/consensus/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log: elections, replication, snapshots, membership."""
+"""Raft consensus: elections, log replication, snapshots, membership."""
--- a/packages/coordination/src/marjoramyard/coordination/consensus/core.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/core.py
@@ -1,4 +1,4 @@
-"""The replica as a state machine: messages in, messages and writes out."""
+"""The Raft core: takes ticks and messages, returns messages and writes."""
 
 import msgspec
 
@@ -18,22 +18,27 @@
 
 
 class RaftCore(Elections):
-    """One replica. The driver feeds it ticks and messages.
+    """One Raft replica without I/O; a driver feeds it ticks and messages.
 
-    After each input the driver takes `take_ready()`, syncs what it says,
-    calls `synced()`, sends the messages and applies what is committed.
+    After each input the driver calls `take_ready()`, writes and syncs the
+    returned state, calls `mark_synced()`, sends the messages and applies the
+    committed entries.
     """
 
     def change_membership(self, membership: Membership) -> int | None:
-        """Proposes a change by one member; None if it can't be now.
+        """Proposes a membership that differs by at most one voter.
 
-        Two changes at once could make quorums that do not overlap, so one
-        must be committed before the next; and nothing is changed before an
-        entry of this term is committed, or an older leader's uncommitted
-        change could come back beside it.
+        The previous change must be committed first, because two changes in
+        progress could form quorums that do not overlap. An entry of the
+        current term must be committed too, because an uncommitted change of
+        an earlier leader could otherwise take effect concurrently.
+
+        Returns:
+            The log index of the change, or None if this replica is not a
+            leader that may make the change now.
         """
-        moved = set(membership.voters) ^ set(self.membership.voters)
-        if not self.can_serve_reads or len(moved) > 1:
+        changed_voters = set(membership.voters) ^ set(self.membership.voters)
+        if not self.can_serve_reads or len(changed_voters) > 1:
             return None
         if not self._membership_is_committed() or not membership.voters:
             return None
@@ -41,12 +46,12 @@
         return self._append_as_leader(EntryKind.MEMBERSHIP, data)
 
     def tick(self) -> None:
-        """One unit of time has passed."""
+        """Advances the clock by one tick."""
         self.ticks += 1
         if self.role is Role.LEADER:
             self._tick_leader()
         elif self.ticks >= self.election_tick:
-            self._reset_deadline()
+            self._reset_election_timer()
             if self.is_voter:
                 self._campaign(pre=True)
 
@@ -57,29 +62,34 @@
             self._check_quorum()
 
     def _check_quorum(self) -> None:
-        """Steps down when a quorum has been silent.
+        """Steps down if no quorum replied within the election timeout.
 
-        A leader that is cut off would go on taking proposals that can never
-        commit, and its callers would wait; it must notice by itself.
+        A partitioned leader would otherwise keep accepting proposals that
+        cannot be committed.
         """
         since = self.ticks - self.timings.election_ticks
-        heard = sum(
+        responding = sum(
             1
             for replica in self.membership.voters
             if replica == self.replica_id
             or self.progress[replica].last_reply_tick > since
         )
-        if heard < self.membership.quorum:
+        if responding < self.membership.quorum:
             self._become_follower(self.term, NO_REPLICA)
 
     def propose(self, data: str) -> int | None:
-        """Appends a command; returns its index, or None if not leader."""
+        """Appends a command; returns its index, or None if not the leader."""
         if self.role is not Role.LEADER:
             return None
         return self._append_as_leader(EntryKind.COMMAND, data)
 
     def transfer_leadership(self) -> bool:
-        """Hands over to the member that has most of the log."""
+        """Asks the most up-to-date voter to start an election at once.
+
+        Returns:
+            Whether the request was queued; False if this replica is not the
+            leader or there is no other voter.
+        """
         others = (
             [r for r in self.membership.voters if r != self.replica_id]
             if self.role is Role.LEADER
@@ -92,11 +102,11 @@
         return True
 
     def receive(self, envelope: Envelope) -> None:
-        """Handles a message; one meant for another replica is dropped.
+        """Handles a message; drops it if addressed to another replica.
 
-        A host whose disk was wiped has a new replica id. What is addressed
-        to its old id must not reach it: it has forgotten its old votes, and
-        voting again in the same term could elect two leaders.
+        A host that lost its disk gets a new replica ID. It has no record of
+        the votes cast under the old ID, so handling messages to that ID could
+        produce a second vote in the same term and elect two leaders.
         """
         if envelope.receiver != self.replica_id:
             return
--- a/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Elects a leader, after asking whether an election would succeed."""
+"""Leader election with pre-vote and leadership transfer."""
 
 from marjoramyard.coordination.consensus.messages import (
     EntryKind,
@@ -15,13 +15,18 @@
 
 
 class Elections(Replication):
-    """Votes asked for, given and counted."""
+    """Requests, grants and counts votes."""
 
     def _campaign(self, pre: bool, transfer: bool = False) -> None:
-        """Asks for votes; first only whether they would be given.
+        """Starts a pre-vote or an election.
 
-        The pre-vote keeps a replica that comes back from a cut from raising
-        the term and so deposing a leader that serves everybody else.
+        A pre-vote does not raise the term, so a replica that rejoins after a
+        partition does not depose a working leader.
+
+        Args:
+            pre: Whether this is a pre-vote.
+            transfer: Whether the leader asked for the election; voters then
+                reply even while they are in contact with it.
         """
         self.leader = NO_REPLICA
         self.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
@@ -42,12 +47,13 @@
         self._count_votes()
 
     def _on_vote_request(self, sender: ReplicaId, request: VoteRequest) -> None:
-        since = self.ticks - self.leader_contact_tick
+        ticks_since_contact = self.ticks - self.leader_contact_tick
         has_leader = self.role is Role.LEADER or (
-            self.leader != NO_REPLICA and since < self.timings.election_ticks
+            self.leader != NO_REPLICA
+            and ticks_since_contact < self.timings.election_ticks
         )
         if has_leader and not request.transfer:
-            # Someone cut off from our leader must not depose it.
+            # A replica that lost contact must not depose a working leader.
             if request.term > self.term or request.pre:
                 self._send(sender, VoteReply(self.term, False, request.pre))
             return
@@ -66,7 +72,7 @@
         granted = request.term == self.term and free and up_to_date
         if granted:
             self.vote = sender
-            self._reset_deadline()
+            self._reset_election_timer()
         self._send(sender, VoteReply(self.term, granted))
 
     def _on_vote_reply(self, sender: ReplicaId, reply: VoteReply) -> None:
--- a/packages/coordination/src/marjoramyard/coordination/consensus/membership_plan.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/membership_plan.py
@@ -1,9 +1,9 @@
-"""Decides the next change of a cluster's membership.
+"""Plans membership changes, one member at a time.
 
-A lost voter is replaced without an operator. The order matters: the
-newcomer is caught up as a learner, then votes, and only then is the lost
-one taken out. At no moment does a quorum consist of fewer copies than
-before, so a second loss in between can't take an acknowledged entry with it.
+A lost voter is replaced automatically: the replacement catches up as a
+learner, becomes a voter, and only then is the lost voter removed. No quorum is
+smaller than before at any point, so losing a second voter during the
+replacement does not lose acknowledged entries.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class StepKind(Enum):
-    """What one change of the membership does."""
+    """The kind of a membership change."""
 
     ADD = "add"
     PROMOTE = "promote"
@@ -24,7 +24,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One change by one member."""
+    """A change of a single member."""
 
     kind: StepKind
     replica: ReplicaId
@@ -32,7 +32,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A live host with a disk."""
+    """A running host that can hold a replica."""
 
     replica: ReplicaId
     address: str
@@ -46,14 +46,14 @@
     lost: set[ReplicaId],
     caught_up: set[ReplicaId],
 ) -> Step | None:
-    """Returns the change to make now, or None if all is in order.
+    """Returns the next change to make, or None if there is none.
 
     Args:
-        membership: What is in force.
-        wanted: How many voters there should be.
-        candidates: Live hosts with a disk, members or not.
-        lost: Members that are taken to be gone.
-        caught_up: Learners that have synced all that is committed.
+        membership: The current membership.
+        wanted: The target number of voters.
+        candidates: Running hosts with a disk, whether members or not.
+        lost: Members that are considered permanently lost.
+        caught_up: Learners that have synced all committed entries.
     """
     lost_voters = [r for r in membership.voters if r in lost]
     alive = len(membership.voters) - len(lost_voters)
@@ -75,7 +75,7 @@
 
 
 def apply_step(membership: Membership, step: Step) -> Membership:
-    """Returns the membership after a step."""
+    """Returns the membership that results from a step."""
     if step.kind is StepKind.ADD:
         return membership.with_learner(step.replica, step.address)
     if step.kind is StepKind.PROMOTE:
--- a/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
@@ -1,4 +1,4 @@
-"""What replicas store and send to each other."""
+"""The data that replicas store and exchange."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class EntryKind(Enum):
-    """What a log entry carries."""
+    """The type of a log entry's payload."""
 
     COMMAND = "c"
     MEMBERSHIP = "m"
@@ -25,7 +25,7 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """Who votes, who only receives the log, and where each listens."""
+    """The voters, the learners and the addresses of a cluster."""
 
     voters: tuple[ReplicaId, ...] = ()
     learners: tuple[ReplicaId, ...] = ()
@@ -33,26 +33,26 @@
 
     @property
     def members(self) -> tuple[ReplicaId, ...]:
-        """Everybody who receives the log."""
+        """All replicas that receive the log."""
         return self.voters + self.learners
 
     @property
     def quorum(self) -> int:
-        """How many voters decide."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def with_learner(self, replica: ReplicaId, address: str) -> "Membership":
-        """Adds a replica that receives the log and does not vote."""
+        """Returns a membership with a new, non-voting replica."""
         addresses = {**self.addresses, replica: address}
         return Membership(self.voters, (*self.learners, replica), addresses)
 
     def promoted(self, replica: ReplicaId) -> "Membership":
-        """Makes a learner a voter."""
+        """Returns a membership in which a learner has become a voter."""
         learners = tuple(r for r in self.learners if r != replica)
         return Membership((*self.voters, replica), learners, self.addresses)
 
     def without(self, replica: ReplicaId) -> "Membership":
-        """Removes a replica."""
+        """Returns a membership without a replica."""
         return Membership(
             tuple(r for r in self.voters if r != replica),
             tuple(r for r in self.learners if r != replica),
@@ -70,14 +70,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must never forget: its term and its vote in it."""
+    """The current term and vote; must be synced before messages are sent."""
 
     term: int = 0
     vote: ReplicaId = ReplicaId("")
 
 
 class StoredState(msgspec.Struct):
-    """What a replica reads from its disk at start."""
+    """The state that a replica loads from disk at startup."""
 
     hard: HardState = HardState()
     snapshot: Snapshot = Snapshot()
@@ -85,7 +85,7 @@
 
 
 class VoteRequest(msgspec.Struct, tag="vote", frozen=True):
-    """Asks for a vote; a pre-vote only asks whether it would be given."""
+    """Requests a vote, or asks whether one would be granted (pre-vote)."""
 
     term: int
     last_index: int
@@ -95,7 +95,7 @@
 
 
 class VoteReply(msgspec.Struct, tag="voted", frozen=True):
-    """Answers a vote request."""
+    """The reply to a vote request."""
 
     term: int
     granted: bool
@@ -103,11 +103,15 @@
 
 
 class Append(msgspec.Struct, tag="append", frozen=True):
-    """Sends entries, or none as a heartbeat.
+    """Replicates entries; without entries it is a heartbeat.
 
     Attributes:
-        round: Echoed by the reply; a quorum of echoes proves that the
-            sender still led when the round began.
+        prev_index: The index before the first entry.
+        prev_term: The term of the entry at `prev_index`.
+        commit: The leader's commit index.
+        round: The heartbeat round, returned in the reply. Replies from a
+            quorum confirm that the sender was the leader when the round
+            started.
     """
 
     term: int
@@ -119,7 +123,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, tag="snapshot", frozen=True):
-    """Sends the state to a replica whose next entries are compacted."""
+    """Replaces the log of a replica that needs compacted entries."""
 
     term: int
     snapshot: Snapshot
@@ -127,11 +131,11 @@
 
 
 class AppendReply(msgspec.Struct, tag="appended", frozen=True):
-    """Answers an append or a snapshot.
+    """The reply to an append or a snapshot.
 
     Attributes:
-        match: With success, the last index that is the leader's and is
-            synced; else where the leader should try again from.
+        match: On success, the last synced index that matches the leader's
+            log; otherwise the index after which the leader should retry.
     """
 
     term: int
@@ -141,7 +145,7 @@
 
 
 class TimeoutNow(msgspec.Struct, tag="timeout-now", frozen=True):
-    """Asks the receiver to stand for election at once."""
+    """Asks the receiver to start an election at once."""
 
     term: int
 
@@ -160,7 +164,7 @@
     """A message between two replicas.
 
     Attributes:
-        reply_to: Where the sender listens; the driver fills it in.
+        reply_to: The sender's address; set by the driver.
     """
 
     sender: ReplicaId
@@ -170,14 +174,15 @@
 
 
 class Ready(msgspec.Struct):
-    """What the driver does next, in this order.
+    """The pending output of a replica, to be processed in this order.
 
     Attributes:
-        hard: To be synced, if set.
-        snapshot: To be synced and installed, if set.
-        entries: To be synced; they replace all from the first one's index.
-        messages: To be sent, but only after all above is synced.
-        committed: To be applied.
+        hard_state: To be written and synced, if set.
+        snapshot: To be written, synced and installed, if set.
+        entries: To be written and synced; they replace all stored entries
+            from the first one's index onwards.
+        messages: To be sent once everything above is synced.
+        committed: To be applied to the state machine.
     """
 
     hard_state: HardState | None
@@ -188,7 +193,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """There is nothing to do."""
+        """Whether there is no pending output."""
         return not (
             self.hard_state
             or self.snapshot
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
@@ -1,4 +1,4 @@
-"""What a replica holds: its term, log, membership and outgoing messages."""
+"""The state of one replica: term, vote, log, membership and outbox."""
 
 import random
 from enum import Enum
@@ -23,7 +23,7 @@
 
 
 class Role(Enum):
-    """What a replica is in its term."""
+    """The role of a replica in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -32,15 +32,16 @@
 
 
 class RaftTimings(msgspec.Struct, frozen=True):
-    """Durations, in ticks of the driver.
+    """Timeouts in driver ticks, and the batch size of replication.
 
     Attributes:
-        election: The least time without a leader before an election; each
-            wait is drawn between this and twice this.
-        heartbeat: The time between a leader's messages.
-        max_batch: The most entries in one append.
-        first_election: The same as `election`, for a replica that has just
-            started and has not heard a leader yet; 0 for no such haste.
+        election_ticks: The minimum election timeout. Each timeout is drawn
+            at random between this value and twice this value.
+        heartbeat_ticks: The interval between a leader's heartbeats.
+        max_batch_entries: The maximum number of entries in one append.
+        first_election_ticks: The minimum election timeout of a replica that
+            has started recently and has not had contact with a leader; 0 to
+            use `election_ticks`.
     """
 
     election_ticks: int = 10
@@ -50,13 +51,13 @@
 
 
 class Progress(msgspec.Struct):
-    """What a leader knows of one member.
+    """A leader's replication progress for one member.
 
     Attributes:
-        match: The last index known to be synced there.
+        match: The highest index known to be synced on the member.
         next: The next index to send.
-        heard: The tick of its last reply.
-        round: The newest round it has echoed.
+        last_reply_tick: The tick of the member's last reply.
+        round: The latest heartbeat round that the member has acknowledged.
     """
 
     match: int = 0
@@ -66,7 +67,30 @@
 
 
 class ReplicaState:
-    """The state that elections and replication share."""
+    """The state shared by elections and replication.
+
+    Attributes:
+        replica_id: The identity of this replica.
+        synced_index: The last log index known to be on disk here.
+        commit_index: The last index known to be committed.
+        applied_index: The last index handed to the driver to be applied.
+        leader: The leader of the current term, if known.
+        ticks: The number of driver ticks since the start.
+        leader_contact_tick: The tick of the last message from a leader;
+            negative if there has been none.
+        election_tick: The tick at which an election starts unless a leader
+            is in contact before it.
+        votes: The replies to the current candidacy, by replica.
+        progress: The replication progress of each member, on a leader.
+        term_start_index: The index of the leader's first entry in its term.
+        round: The current heartbeat round.
+        round_requested: Whether another heartbeat round is to start as soon
+            as the current one is confirmed.
+        outbox: Messages not yet taken by the driver.
+        written_hard_state: The hard state last given to the driver.
+        pending_snapshot: A received snapshot not yet taken by the driver.
+        first_unwritten: The first index not yet given to the driver.
+    """
 
     def __init__(
         self,
@@ -99,10 +123,10 @@
         self.pending_snapshot: Snapshot | None = None
         self.first_unwritten = self.log.last_index + 1
         self.membership = self._latest_membership()
-        self._reset_deadline()
+        self._reset_election_timer()
 
     def _latest_membership(self) -> Membership:
-        """A membership entry counts as soon as it is in the log."""
+        """Returns the newest membership in the log, committed or not."""
         for entry in reversed(self.log.entries):
             if entry.kind is EntryKind.MEMBERSHIP:
                 return msgspec.json.decode(entry.data, type=Membership)
@@ -114,27 +138,29 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica may stand for election."""
+        """Whether this replica votes and may become a candidate."""
         return self.replica_id in self.membership.voters
 
-    def _reset_deadline(self) -> None:
-        least = self.timings.election_ticks
+    def _reset_election_timer(self) -> None:
+        min_ticks = self.timings.election_ticks
         if self._uses_first_election_timeout():
-            least = self.timings.first_election_ticks
-        self.election_tick = self.ticks + self.rng.randint(least, 2 * least)
+            min_ticks = self.timings.first_election_ticks
+        self.election_tick = self.ticks + self.rng.randint(
+            min_ticks, 2 * min_ticks
+        )
 
     def _uses_first_election_timeout(self) -> bool:
-        """Whether there is likely no leader at all, as after a power loss.
+        """Whether to use the shorter election timeout of a recent start.
 
-        All hosts are back at once then, and each waits in vain to hear a
-        leader; callers would be refused all that time. If there is a leader
-        after all, those who hear it turn the pre-vote down, so haste can't
-        depose it.
+        If all hosts restart at once, for example after a power loss, there
+        is no leader, and requests are refused until one is elected. If there
+        is a leader, its followers reject the pre-vote, so the shorter
+        timeout cannot depose it.
         """
-        never_heard = self.leader_contact_tick < 0
+        no_leader_contact = self.leader_contact_tick < 0
         return (
             self.timings.first_election_ticks > 0
-            and never_heard
+            and no_leader_contact
             and self.ticks < 2 * self.timings.election_ticks
         )
 
@@ -145,7 +171,7 @@
         self.role = Role.FOLLOWER
         self.leader = leader
         self.round_requested = False
-        self._reset_deadline()
+        self._reset_election_timer()
 
     def _append_to_log(self, entries: list[LogEntry]) -> None:
         first = entries[0].index
@@ -154,7 +180,7 @@
         self.first_unwritten = min(self.first_unwritten, first)
         self.synced_index = min(self.synced_index, first - 1)
         if replaces or any(e.kind is EntryKind.MEMBERSHIP for e in entries):
-            # Looked for only then: the log may hold thousands of entries.
+            # Scanning the log is expensive; skip it for plain appends.
             self.membership = self._latest_membership()
         if self.role is Role.LEADER:
             for replica in self.membership.members:
@@ -177,7 +203,12 @@
                 self._become_follower(self.term, NO_REPLICA)
 
     def compact(self, index: int, data: str) -> Snapshot:
-        """Replaces the log up to `index`, which is applied, by a state."""
+        """Replaces the log up to the applied entry `index` by a snapshot.
+
+        Args:
+            index: The last entry that the snapshot covers.
+            data: The state of the state machine after that entry.
+        """
         term = self.log.term_at(index)
         membership = self.log.snapshot.membership
         for entry in self.log.between(self.log.snapshot.index, index):
@@ -188,19 +219,19 @@
         return snapshot
 
     def take_ready(self) -> Ready:
-        """Returns what the driver must do, and counts it as taken."""
-        hard = HardState(self.term, self.vote)
+        """Returns the pending output for the driver and clears it."""
+        hard_state = HardState(self.term, self.vote)
         entries = self.log.between(
             self.first_unwritten - 1, self.log.last_index
         )
         ready = Ready(
-            hard if hard != self.written_hard_state else None,
+            hard_state if hard_state != self.written_hard_state else None,
             self.pending_snapshot,
             entries,
             self.outbox,
             self.log.between(self.applied_index, self.commit_index),
         )
-        self.written_hard_state = hard
+        self.written_hard_state = hard_state
         self.pending_snapshot = None
         self.first_unwritten = self.log.last_index + 1
         self.outbox = []
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Sends the log to the other replicas and decides what is committed."""
+"""Log replication: appends, snapshots, commit index, heartbeat rounds."""
 
 from marjoramyard.coordination.consensus.log import ReplicatedLog
 from marjoramyard.coordination.consensus.messages import (
@@ -13,15 +13,15 @@
 
 
 class Replication(ReplicaState):
-    """The leader's and the follower's part in copying the log."""
+    """The leader's and the follower's side of log replication."""
 
     def is_caught_up(self, replica: ReplicaId) -> bool:
-        """Whether a member has synced all that is committed."""
+        """Returns whether a member has synced all committed entries."""
         progress = self.progress.get(replica)
         return progress is not None and progress.match >= self.commit_index
 
     def flush(self) -> None:
-        """Sends what was proposed; one append carries a whole batch."""
+        """Sends unsent entries to all members, in batches."""
         if self.role is Role.LEADER:
             for replica in self.membership.members:
                 if replica != self.replica_id:
@@ -52,10 +52,10 @@
             )
             progress.next = snapshot.index + 1
             return
-        upto = min(
+        last = min(
             self.log.last_index, previous + self.timings.max_batch_entries
         )
-        entries = self.log.between(previous, upto)
+        entries = self.log.between(previous, last)
         self._send(
             replica,
             Append(
@@ -67,20 +67,20 @@
                 self.round,
             ),
         )
-        # Assume that it arrives; a reply that says otherwise sets it back.
-        progress.next = upto + 1
+        # Pipelining: assume delivery; a rejection resets `next`.
+        progress.next = last + 1
 
     def _follow_leader(self, leader: ReplicaId) -> None:
         self.role = Role.FOLLOWER
         self.leader = leader
         self.leader_contact_tick = self.ticks
-        self._reset_deadline()
+        self._reset_election_timer()
 
     def _on_append(self, sender: ReplicaId, message: Append) -> None:
         self._follow_leader(sender)
         previous = message.prev_index
         if previous < self.commit_index:
-            # Below our commit everything agrees already.
+            # Entries up to the commit index match already.
             entries = [
                 e for e in message.entries if e.index > self.commit_index
             ]
@@ -108,8 +108,8 @@
         self._follow_leader(sender)
         snapshot = message.snapshot
         if self.log.term_at(snapshot.index) == snapshot.term:
-            # We have that entry. Dropping what follows it would take back
-            # entries that we acknowledged and that may be committed.
+            # The log already holds that entry. Discarding later entries
+            # could lose acknowledged, possibly committed ones.
             self._commit_to(snapshot.index)
         elif snapshot.index > self.commit_index:
             self.log = ReplicatedLog(snapshot, [])
@@ -154,17 +154,20 @@
             for replica in self.membership.voters
         )
         index = matches[-self.membership.quorum]
-        # An older term's entry is not safe by count alone: a later leader
-        # may still overwrite it. One of our own term commits it with it.
+        # An entry of an earlier term that is stored on a quorum can still be
+        # overwritten; it is committed only by a later entry of this term.
         if self.log.term_at(index) == self.term:
             self._commit_to(index)
 
     def request_round(self) -> int:
-        """Asks for proof that we still lead; returns the round to await.
+        """Requests confirmation that this replica is still the leader.
 
-        The proof is a quorum's echo of a round that began after the
-        request, so an answer given then can't come from a leader that had
-        been replaced before it was asked.
+        Leadership is confirmed once a quorum has acknowledged a heartbeat
+        round that started after the request; a read served then cannot be
+        stale.
+
+        Returns:
+            The round to wait for in `confirmed_round`.
         """
         self.round_requested = True
         self._start_round_if_idle()
@@ -172,7 +175,7 @@
 
     @property
     def confirmed_round(self) -> int:
-        """The newest round that a quorum has echoed."""
+        """The latest heartbeat round acknowledged by a quorum."""
         rounds = sorted(
             self.round
             if replica == self.replica_id
@@ -185,10 +188,10 @@
 
     @property
     def can_serve_reads(self) -> bool:
-        """Whether an entry of our own term is committed.
+        """Whether this leader has committed an entry of its own term.
 
-        Before that a new leader may not know all that its predecessor
-        committed, and would answer with an older state.
+        Before that, a new leader may not know of all committed entries and
+        could serve stale reads.
         """
         return (
             self.role is Role.LEADER
@@ -203,7 +206,7 @@
                 self._broadcast()
 
     def mark_synced(self) -> None:
-        """All that the last `take_ready()` gave is on disk."""
+        """Records that the output of the last `take_ready()` is on disk."""
         self.synced_index = self.log.last_index
         if (
             self.role is Role.LEADER
--- a/packages/coordination/tests/consensus/replica_network.py
+++ b/packages/coordination/tests/consensus/replica_network.py
@@ -1,4 +1,4 @@
-"""A few replicas with disks, and the messages between them."""
+"""A simulated network of replicas with disks, for tests."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Replica:
-    """One replica: what it holds in memory and what it has synced."""
+    """A replica with its in-memory state and its synced disk state."""
 
     def __init__(self, name, disk, seed):
         self.name = name
@@ -68,7 +68,7 @@
 
 
 class Network:
-    """Delivers messages in any order, or not at all, and checks safety."""
+    """Delivers, reorders or drops messages, and checks safety properties."""
 
     def __init__(self, count):
         names = [f"r{n}" for n in range(count)]
@@ -80,16 +80,16 @@
             for name in names
         }
         self.down = set()
-        self.cut = set()
+        self.isolated = set()
         self.messages: list[Envelope] = []
         self.leaders = {}
         self.committed = {}
         self.votes = {}
         self.proposed = 0
-        self.made = count
+        self.created = count
 
-    def pump(self, name, crash_before_sync=False):
-        """Does what a driver does; a crash may come before the sync."""
+    def process_output(self, name, crash_before_sync=False):
+        """Processes a replica's output, optionally crashing before the sync."""
         replica = self.replicas[name]
         replica.core.flush()
         while not (ready := replica.core.take_ready()).is_empty:
@@ -111,44 +111,44 @@
             if getattr(message, "granted", False) and not message.pre:
                 key = (envelope.sender, message.term)
                 known = self.votes.setdefault(key, envelope.receiver)
-                assert known == envelope.receiver, f"{key} voted twice"
+                assert known == envelope.receiver, f"{key} granted two votes"
 
     def check_committed(self, entry):
         value = (entry.term, entry.data)
         known = self.committed.setdefault(entry.index, value)
-        assert known == value, f"entry {entry.index} changed"
+        assert known == value, f"committed entry {entry.index} changed"
 
     def check_leader(self, replica):
         core = replica.core
         if core.role is Role.LEADER:
             known = self.leaders.setdefault(core.term, replica.name)
-            assert known == replica.name, f"two leaders in {core.term}"
+            assert known == replica.name, f"two leaders in term {core.term}"
 
     def tick(self, name, times=1):
         if name in self.down:
             return
         for _ in range(times):
             self.replicas[name].core.tick()
-            self.pump(name)
+            self.process_output(name)
 
-    def deliver(self, place, keep=False):
-        """Delivers one message; a kept one may come again."""
+    def deliver(self, position, keep=False):
+        """Delivers one message; with `keep` it can be delivered again."""
         if not self.messages:
             return
-        place %= len(self.messages)
-        envelope = self.messages[place]
+        position %= len(self.messages)
+        envelope = self.messages[position]
         if not keep:
-            self.messages.pop(place)
+            self.messages.pop(position)
         receiver = envelope.receiver
         if receiver not in self.replicas or receiver in self.down:
             return
-        if {envelope.sender, receiver} & self.cut:
+        if {envelope.sender, receiver} & self.isolated:
             return
         self.replicas[receiver].core.receive(envelope)
-        self.pump(receiver)
+        self.process_output(receiver)
 
     def settle(self, rounds=40):
-        """Lets everybody who is up work undisturbed for a while."""
+        """Ticks all running replicas and delivers their messages in order."""
         for _ in range(rounds):
             for name in list(self.replicas):
                 self.tick(name)
@@ -168,7 +168,7 @@
         found = [
             r
             for n, r in self.replicas.items()
-            if n not in self.down | self.cut and r.core.role is Role.LEADER
+            if n not in self.down | self.isolated and r.core.role is Role.LEADER
         ]
         return max(found, key=lambda r: r.core.term, default=None)
 
@@ -177,18 +177,18 @@
         if leader is not None:
             self.proposed += 1
             leader.core.propose(f"value-{self.proposed}")
-            self.pump(leader.name)
+            self.process_output(leader.name)
 
     def add_learner(self):
-        """Takes in an empty host under a new identity."""
-        name = f"r{self.made}"
-        self.made += 1
+        """Adds an empty replica with a new identity as a learner."""
+        name = f"r{self.created}"
+        self.created += 1
         self.replicas[name] = Replica(name, StoredState(), 0)
         leader = self.leader()
         if leader is not None:
             membership = leader.core.membership
             leader.core.change_membership(membership.with_learner(name, name))
-            self.pump(leader.name)
+            self.process_output(leader.name)
         return name
 
     def promote(self, name):
@@ -201,7 +201,7 @@
         if not leader.core.is_caught_up(name):
             return False
         done = leader.core.change_membership(membership.promoted(name))
-        self.pump(leader.name)
+        self.process_output(leader.name)
         return done is not None
 
     def remove(self, name):
@@ -209,18 +209,20 @@
         if leader is None or name not in leader.core.membership.voters:
             return
         leader.core.change_membership(leader.core.membership.without(name))
-        self.pump(leader.name)
+        self.process_output(leader.name)
 
     def wipe(self, name):
-        """The disk is lost; whoever comes up there is somebody new."""
+        """Removes a replica and its disk; its identity is never reused."""
         self.crash(name)
         del self.replicas[name]
 
-    def check_applied_agree(self):
+    def check_applied_logs(self):
         for name, replica in self.replicas.items():
             for index, term, data in replica.applied:
                 known = self.committed.get(index)
-                assert known == (term, data), f"{name} applied another {index}"
+                assert known == (term, data), (
+                    f"{name} applied a different entry at {index}"
+                )
 
     @staticmethod
     def is_command(entry):
--- a/packages/coordination/tests/consensus/test_consensus_properties.py
+++ b/packages/coordination/tests/consensus/test_consensus_properties.py
@@ -1,4 +1,4 @@
-"""Safety of the replicated log under any order of faults."""
+"""Property tests for the safety and liveness of the replicated log."""
 
 import random
 import sys
@@ -14,8 +14,8 @@
 _pick = st.integers(0, 9)
 
 
-def chaos(net, rng, steps):
-    """Makes many small steps, most of them progress, some of them faults."""
+def run_random_steps(net, rng, steps):
+    """Runs random steps, mostly progress and some faults."""
     for _ in range(steps):
         name = rng.choice(sorted(net.replicas))
         kind = rng.random()
@@ -28,7 +28,7 @@
         elif kind < 0.85:
             net.propose()
         elif kind < 0.88:
-            net.cut = {name} if not net.cut else set()
+            net.isolated = {name} if not net.isolated else set()
         elif kind < 0.92 and name not in net.down:
             net.crash(name)
         elif kind < 0.96 and net.down:
@@ -40,10 +40,9 @@
 
 
 class ConsensusMachine(RuleBasedStateMachine):
-    """Loss, repetition, reordering, cuts, crashes, restarts, lost disks.
+    """Random message faults, partitions, crashes and membership changes.
 
-    A caller must never see a committed entry change or vanish, whatever
-    happens in whatever order: it is what bundles and the ledger rest on.
+    Guards against committed entries that are changed or lost.
     """
 
     def __init__(self):
@@ -60,22 +59,22 @@
     def time_passes(self, pick, times):
         self.net.tick(self.name(pick), times)
 
-    @rule(place=st.integers(0, 50), keep=st.booleans())
-    def message_arrives(self, place, keep):
-        self.net.deliver(place, keep)
+    @rule(position=st.integers(0, 50), keep=st.booleans())
+    def message_arrives(self, position, keep):
+        self.net.deliver(position, keep)
 
     @rule(count=st.integers(1, 20))
     def messages_arrive_in_order(self, count):
         for _ in range(count):
             self.net.deliver(0)
 
-    @rule(place=st.integers(0, 50))
-    def message_is_lost(self, place):
+    @rule(position=st.integers(0, 50))
+    def message_is_lost(self, position):
         if self.net.messages:
-            self.net.messages.pop(place % len(self.net.messages))
+            self.net.messages.pop(position % len(self.net.messages))
 
     @rule(count=st.integers(1, 5))
-    def caller_proposes(self, count):
+    def client_proposes(self, count):
         for _ in range(count):
             self.net.propose()
 
@@ -88,19 +87,19 @@
         name = self.name(pick)
         if name not in self.net.down:
             self.net.replicas[name].core.tick()
-            self.net.pump(name, crash_before_sync=True)
+            self.net.process_output(name, crash_before_sync=True)
 
     @rule(pick=_pick)
     def replica_restarts(self, pick):
         self.net.restart(self.name(pick))
 
     @rule(pick=_pick)
-    def replica_is_cut_off(self, pick):
-        self.net.cut = {self.name(pick)}
+    def replica_is_isolated(self, pick):
+        self.net.isolated = {self.name(pick)}
 
     @rule()
-    def cut_heals(self):
-        self.net.cut = set()
+    def partition_heals(self):
+        self.net.isolated = set()
 
     @rule(pick=_pick)
     def snapshot_is_taken(self, pick):
@@ -110,11 +109,11 @@
 
     @rule()
     def learner_joins(self):
-        if self.net.made < 6 and self.net.leader() is not None:
+        if self.net.created < 6 and self.net.leader() is not None:
             self.learners.append(self.net.add_learner())
 
     @rule()
-    def learner_gets_a_vote(self):
+    def learner_is_promoted(self):
         if self.learners:
             self.net.promote(self.learners[-1])
 
@@ -125,21 +124,21 @@
             self.net.remove(self.name(pick))
 
     @rule(seed=st.integers(0, 10_000), steps=st.integers(20, 120))
-    def faults_come_thick_and_fast(self, seed, steps):
-        chaos(self.net, random.Random(seed), steps)
+    def many_faults_occur(self, seed, steps):
+        run_random_steps(self.net, random.Random(seed), steps)
 
     @rule()
-    def all_work_undisturbed(self):
-        self.net.cut = set()
+    def faults_end(self):
+        self.net.isolated = set()
         self.net.settle(30)
 
     @invariant()
     def applied_logs_agree(self):
-        self.net.check_applied_agree()
+        self.net.check_applied_logs()
 
     def teardown(self):
-        """Once faults end, the log goes on and loses nothing committed."""
-        self.net.cut = set()
+        """Checks that once faults end, commits resume and none was lost."""
+        self.net.isolated = set()
         for name in list(self.net.down):
             self.net.restart(name)
         self.net.settle(60)
@@ -160,12 +159,8 @@
 )
 
 
-def test_a_wiped_host_replaced_then_a_second_one_lost_loses_nothing():
-    """A control host loses its disk and is replaced; another one dies.
-
-    The new host gets a vote only after it has synced all entries, and the
-    lost one goes out after that, so the two that remain hold everything.
-    """
+def test_replacing_a_wiped_host_tolerates_the_loss_of_another():
+    """Guards against: entries lost when the leader crashes afterwards."""
     net = Network(3)
     net.settle()
     for _ in range(10):
@@ -187,37 +182,29 @@
     assert all(held[i] == v for i, v in net.committed.items())
 
 
-def test_a_wiped_replica_drops_what_is_meant_for_its_old_identity():
-    """A host votes, loses its disk, and comes up with an empty folder.
-
-    A candidate of the same term still asks the old identity for its vote.
-    Answering would be a second vote in one term, and two leaders.
-    """
+def test_a_wiped_replica_ignores_messages_to_its_old_identity():
+    """Guards against: a second vote in one term after a disk was lost."""
     net = Network(3)
     net.settle()
     net.wipe("r2")
     fresh = net.add_learner()
     net.messages.clear()
     net.replicas["r0"].core._campaign(pre=False)
-    net.pump("r0")
+    net.process_output("r0")
     asked = [m for m in net.messages if m.receiver == "r2"]
     assert asked
     for envelope in asked:
         net.replicas[fresh].core.receive(envelope)
-        net.pump(fresh)
+        net.process_output(fresh)
     assert not [m for m in net.messages if m.sender == fresh]
 
 
-def test_a_cut_off_leader_steps_down_and_confirms_no_read():
-    """Silent network cut: the leader's host hears nobody.
-
-    Its routers would take its word for the bundle in force. It must get no
-    confirmation for a read, and notice by itself that it leads nobody.
-    """
+def test_an_isolated_leader_steps_down_and_confirms_no_read():
+    """Guards against: stale reads from a leader that lost its quorum."""
     net = Network(3)
     net.settle()
     old = net.leader()
-    net.cut = {old.name}
+    net.isolated = {old.name}
     wanted = old.core.request_round()
     net.settle(20)
     assert old.core.role.value != "leader"
--- a/packages/coordination/tests/consensus/test_consensus_safeguards.py
+++ b/packages/coordination/tests/consensus/test_consensus_safeguards.py
@@ -1,4 +1,4 @@
-"""Each safeguard of the replica, in the smallest story that needs it."""
+"""Tests of the individual safety rules of the Raft core."""
 
 import random
 import sys
@@ -51,32 +51,26 @@
 
 
 def test_a_replica_that_lacks_committed_entries_is_not_elected():
-    """r2 is cut off while bundles are accepted; then the leader dies.
-
-    r2 comes back and asks for votes. If it won, it would overwrite what
-    operators were told is accepted.
-    """
+    """Guards against: a new leader that overwrites committed entries."""
     net = Network(3)
     net.settle()
     leader = net.leader().name
     behind = next(n for n in net.replicas if n != leader)
-    net.cut = {behind}
+    net.isolated = {behind}
     for _ in range(5):
         net.propose()
     net.settle(5)
     net.crash(leader)
-    net.cut = set()
+    net.isolated = set()
     net.settle(60)
     assert net.leader().name != behind
-    net.check_applied_agree()
+    net.check_applied_logs()
 
 
 def test_an_entry_of_an_older_term_is_not_committed_by_count():
-    """A leader of term 2 left an entry on a minority before it died.
+    """Guards against: applying an entry that a later leader may overwrite.
 
-    A later leader copies it to a majority and dies before its own entry
-    arrives. A third one, elected with a newer log, may still overwrite the
-    old entry, so it must not have been applied.
+    An entry of an earlier term is committed only by one of the leader's own.
     """
     core = make_core([entry(2, 2)], term=3)
     elect(core)
@@ -86,12 +80,8 @@
     assert core.commit_index == 3
 
 
-def test_a_late_snapshot_takes_back_no_acknowledged_entry():
-    """A snapshot message is repeated by the network long after it was sent.
-
-    The follower has acknowledged entries behind it since; the leader may
-    have committed them on that word.
-    """
+def test_a_duplicate_snapshot_removes_no_acknowledged_entry():
+    """Guards against: losing entries acknowledged after the snapshot."""
     core = make_core([entry(n, 1) for n in range(2, 7)], commit=2)
     snapshot = Snapshot(4, 1, BASE.membership, "[]")
     core.receive(Envelope("b", "a", InstallSnapshot(1, snapshot)))
@@ -99,11 +89,7 @@
 
 
 def test_a_leader_counts_itself_only_once_it_has_synced():
-    """The leader loses power after one follower acknowledged, not more.
-
-    Had it counted its own unsynced copy, the entry would be on one disk
-    only and yet reported as accepted.
-    """
+    """Guards against: committing an entry that is on a single disk."""
     core = make_core()
     elect(core)
     index = core.propose("x")
@@ -115,31 +101,24 @@
     assert core.commit_index == index
 
 
-def test_a_learner_that_lacks_entries_gets_no_vote():
-    """An operator is in a hurry after a lost disk.
-
-    With a vote the empty host could form a quorum with another one that
-    lacks the newest entries, and they would be gone.
-    """
+def test_a_learner_that_lacks_entries_is_not_promoted():
+    """Guards against: a quorum of voters that lack committed entries."""
     net = Network(3)
     net.settle()
     for _ in range(5):
         net.propose()
     net.settle(5)
     fresh = net.add_learner()
-    net.cut = {fresh}
+    net.isolated = {fresh}
     net.settle(10)
     assert not net.promote(fresh)
-    net.cut = set()
+    net.isolated = set()
     net.settle(10)
     assert net.promote(fresh)
 
 
 def test_a_second_membership_change_waits_for_the_first():
-    """Two repairs run at once; each alone moves the quorum by one.
-
-    Together they could leave two quorums without a common member.
-    """
+    """Guards against: concurrent changes whose quorums do not overlap."""
     core = make_core()
     elect(core)
     reply(core, core.log.last_index)
@@ -154,26 +133,22 @@
     assert core.change_membership(two) is not None
 
 
-def test_a_replica_back_from_a_cut_does_not_depose_the_leader():
-    """It heard nobody, and asks for votes over and over.
-
-    Without the pre-vote its term would have risen far, and the first
-    message after the heal would stop a leader that everybody follows.
-    """
+def test_a_replica_that_rejoins_does_not_depose_the_leader():
+    """Guards against: terms raised during a partition (no pre-vote)."""
     net = Network(3)
     net.settle()
     leader = net.leader()
-    away = next(n for n in net.replicas if n != leader.name)
-    net.cut = {away}
+    isolated = next(n for n in net.replicas if n != leader.name)
+    net.isolated = {isolated}
     net.settle(60)
     term = leader.core.term
-    net.cut = set()
+    net.isolated = set()
     net.settle(20)
     assert net.leader().core.term == term
 
 
-def test_a_new_leader_answers_no_read_before_its_own_entry_is_committed():
-    """It may not know yet all that its predecessor committed."""
+def test_a_new_leader_serves_no_read_before_its_own_entry_is_committed():
+    """Guards against: stale reads from a new leader."""
     core = make_core([entry(2, 1)])
     elect(core)
     assert not core.can_serve_reads
@@ -181,21 +156,17 @@
     assert core.can_serve_reads
 
 
-def rounds_until_a_leader(net):
+def rounds_until_leader(net):
     for number in range(40):
         net.settle(rounds=1)
         if net.leader() is not None:
             return number + 1
-    raise AssertionError("no leader")
+    raise AssertionError("no leader elected in 40 rounds")
 
 
-def test_after_a_power_loss_there_is_soon_a_leader_again():
-    """All callers with a key are refused until a leader is there.
-
-    All hosts lose power at once and are back together. Each waits to hear
-    a leader, and there is none to hear.
-    """
-    taken = []
+def test_a_leader_is_elected_quickly_after_a_full_restart():
+    """Guards against: a full election timeout when all hosts restart."""
+    rounds_taken = []
     for seed in range(20):
         net = Network(3)
         net.settle()
@@ -205,17 +176,13 @@
         net.messages.clear()
         for name in list(net.replicas):
             net.restart(name)
-        taken.append(rounds_until_a_leader(net))
-    assert sorted(taken)[10] < TIMINGS.election_ticks
-    assert max(taken) < 2 * TIMINGS.election_ticks
+        rounds_taken.append(rounds_until_leader(net))
+    assert sorted(rounds_taken)[10] < TIMINGS.election_ticks
+    assert max(rounds_taken) < 2 * TIMINGS.election_ticks
 
 
-def test_a_replica_that_starts_in_haste_deposes_nobody():
-    """Each restart of a host would cost an election.
-
-    A follower starts again and asks for votes before it has heard the
-    leader. The others hear the leader and turn it down.
-    """
+def test_a_short_first_election_timeout_deposes_no_leader():
+    """Guards against: an election on each restart of a follower."""
     for seed in range(20):
         net = Network(3)
         net.settle()
--- a/packages/coordination/tests/consensus/test_membership_plan.py
+++ b/packages/coordination/tests/consensus/test_membership_plan.py
@@ -1,4 +1,4 @@
-"""Voters are replaced without an operator and without a weak moment."""
+"""Tests of the planning of membership changes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -25,11 +25,10 @@
     return [Candidate(replica, ADDRESSES[replica]) for replica in replicas]
 
 
-def test_a_wiped_voter_is_replaced_in_the_safe_order():
-    """An operator's acknowledged change could be lost with a second disk.
+def test_a_wiped_voter_is_replaced_before_it_is_removed():
+    """Guards against: acknowledged entries lost with a second disk.
 
-    C loses its disk and comes back as D. D is caught up, then votes, and
-    only then is C taken out; so every quorum on the way holds two copies.
+    C loses its disk and rejoins as D.
     """
     membership = members((A, B, C))
     steps = []
@@ -47,13 +46,13 @@
     assert set(membership.voters) == {A, B, D}
 
 
-def test_a_dark_voter_without_a_spare_stays():
+def test_a_lost_voter_without_a_replacement_stays():
     assert next_step(members((A, B, C)), 3, candidates(A, B), {C}, set()) is (
         None
     )
 
 
-def test_a_lost_learner_goes_so_that_its_successor_can_come():
+def test_a_lost_learner_is_removed():
     step = next_step(members((A, B, C), (D,)), 3, [], {D}, set())
     assert step == Step(StepKind.REMOVE, D)
 
