--- a/packages/coordination/src/marjoramyard/coordination/governance/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/__init__.py
@@ -1,1 +1,1 @@
-"""What the control hosts agree on: bundles, ledger, orders, suspects."""
+"""Replicated control state: bundles, call ledger, orders, suspects."""
--- a/packages/coordination/src/marjoramyard/coordination/governance/audit.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail as a hash chain."""
+"""The audit trail, a hash chain of records."""
 
 from typing import Any
 
@@ -11,19 +11,19 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing that was done to the bundle.
+    """An operator's action on the bundle.
 
     Attributes:
-        number: Its place in the chain, from 1.
-        at: When, in seconds since the epoch, by the leader's clock.
+        number: The position in the chain, from 1.
+        at: The time in seconds since the Unix epoch, by the leader's clock.
         action: propose, approve, roll or refuse.
-        who: The operator.
-        change_id: Which change.
-        version: The version in force after the action.
+        who: The operator's name.
+        change_id: The change acted on.
+        version: The bundle version in force after the action.
         signature: The operator's signature, in hex.
-        change: The signed change, with a proposal.
-        previous: The hash of the record before.
-        hash: The hash of this record without this field.
+        change: The signed change; only set for proposals.
+        previous: The hash of the preceding record.
+        hash: The hash of this record with an empty `hash` field.
     """
 
     number: int
@@ -38,24 +38,28 @@
     hash: str = ""
 
     def computed_hash(self) -> str:
-        """Returns what `hash` must be."""
+        """Returns the hash that `hash` must equal."""
         return digest(canonical_bytes(msgspec.structs.replace(self, hash="")))
 
 
 def with_hash(record: AuditRecord) -> AuditRecord:
-    """Returns the record with its hash."""
+    """Returns the record with its `hash` field set."""
     return msgspec.structs.replace(record, hash=record.computed_hash())
 
 
 def verify_chain(records: list[AuditRecord]) -> Result[int, str]:
-    """Checks a whole chain; the error names the first altered record."""
+    """Verifies a chain from its first record.
+
+    Returns:
+        The number of records, or an error that names the first invalid one.
+    """
     previous = GENESIS
-    for place, record in enumerate(records, start=1):
-        if record.number != place:
-            return Err(f"record {place} is missing; restore it from a backup")
+    for number, record in enumerate(records, start=1):
+        if record.number != number:
+            return Err(f"record {number} is missing; restore it from a backup")
         if record.previous != previous:
-            return Err(f"record {place} does not follow the one before it")
+            return Err(f"record {number} does not link to the preceding record")
         if record.hash != record.computed_hash():
-            return Err(f"record {place} was altered after it was written")
+            return Err(f"record {number} was altered after it was written")
         previous = record.hash
     return Ok(len(records))
--- a/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
@@ -1,4 +1,4 @@
-"""The bundle of configuration: its rows, their types and their checks."""
+"""The configuration bundle: row types, lookup tables and validation."""
 
 import sys
 from collections.abc import Iterator
@@ -22,11 +22,11 @@
     """A customer's workspace.
 
     Attributes:
-        share: Its weight; service is shared in proportion to it.
-        services: What it may reach.
-        key_hashes: SHA-256 of its API keys, in hex.
-        max_waiting: Requests that may wait at one entry.
-        max_waiting_bytes: Bytes that these may hold.
+        share: The weight in fair queueing; must be positive.
+        services: The names of the services that it may call.
+        key_hashes: The SHA-256 hashes of its API keys, in hex.
+        max_waiting: The maximum number of requests queued at one entry.
+        max_waiting_bytes: The maximum size of these requests, in bytes.
     """
 
     share: float
@@ -37,15 +37,15 @@
 
 
 class Service(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A kind of endpoint that requests are routed to.
+    """A service that requests are routed to.
 
     Attributes:
         kind: "engine" for model engines, "plain" for other services.
-        models: Names in a chat request that mean this engine service.
-        stall_seconds: The longest silence within an answer.
-        deadline_seconds: The deadline of a request that names none.
-        max_deadline_seconds: The longest deadline that may be named.
-        max_body_bytes: The largest body.
+        models: The model names in chat requests that select this service.
+        stall_seconds: The maximum time without data within a response.
+        deadline_seconds: The deadline of requests that specify none.
+        max_deadline_seconds: The maximum deadline a request may specify.
+        max_body_bytes: The maximum size of a request body.
     """
 
     kind: str
@@ -57,9 +57,16 @@
 
 
 class Rule(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What holds for requests of a service under a path prefix.
+    """Request handling for a service under a path prefix.
 
     The rule with the longest matching prefix applies.
+
+    Attributes:
+        service: The service that the rule belongs to.
+        path: The path prefix.
+        methods: The HTTP methods that the rule matches; empty for all.
+        repeatable: Whether a request may be sent again after a failure.
+        request_class: The name of the `RequestClass`.
     """
 
     service: str
@@ -70,14 +77,14 @@
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Somebody who may change the bundle; the key is Ed25519, in hex."""
+    """An operator who may change the bundle; the key is Ed25519, in hex."""
 
     public_key: str
     roles: tuple[str, ...] = ("author", "approver")
 
 
 class Policy(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Knobs of the whole fleet."""
+    """Fleet-wide tuning parameters."""
 
     prefix_slack: float = 0.0
     zone_slack: float = 0.0
@@ -90,14 +97,14 @@
     ledger_capacity: int = 100_000
 
     def fairness(self) -> FairnessPolicy:
-        """Returns the part that the scheduler needs."""
+        """Returns the scheduler's part of the policy."""
         return FairnessPolicy(
             self.prefix_slack, self.zone_slack, self.reserve, self.credit_limit
         )
 
 
 class Bundle(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole configuration, as operators write it."""
+    """The complete configuration, as operators write it."""
 
     operators: dict[str, Operator] = {}
     workspaces: dict[str, Workspace] = {}
@@ -115,11 +122,11 @@
 POLICY_ROW = "policy"
 
 Rows = dict[str, Any]
-"""The bundle as rows by path, such as "workspaces/shop": what changes."""
+"""Bundle rows by path, such as "workspaces/shop"; changes apply per row."""
 
 
 def to_rows(bundle: Bundle) -> Rows:
-    """Flattens a bundle into its rows."""
+    """Returns a bundle as plain rows by path."""
     rows: Rows = {POLICY_ROW: bundle.policy}
     for section in _ROW_TYPES:
         for name, value in getattr(bundle, section).items():
@@ -128,30 +135,34 @@
 
 
 def row_value(path: str, raw: Any) -> Any:
-    """Returns a row's typed value; `raw` is plain values or raw JSON.
+    """Decodes a row into its type.
+
+    Args:
+        path: The row's path.
+        raw: The row as built-in values or as `msgspec.Raw` JSON.
 
     Raises:
-        ValueError: The path or the value is wrong; says which and how.
+        ValueError: The path or the value is invalid.
     """
     section, _, name = path.partition("/")
-    kind = Policy if path == POLICY_ROW else _ROW_TYPES.get(section)
-    if kind is None or (path != POLICY_ROW and not name):
+    row_type = Policy if path == POLICY_ROW else _ROW_TYPES.get(section)
+    if row_type is None or (path != POLICY_ROW and not name):
         sections = ", ".join(_ROW_TYPES)
         raise ValueError(f"{path}: no such section; use one of: {sections}")
     try:
         if isinstance(raw, msgspec.Raw):
-            return msgspec.json.decode(raw, type=kind)
-        return msgspec.convert(raw, kind)
+            return msgspec.json.decode(raw, type=row_type)
+        return msgspec.convert(raw, row_type)
     except msgspec.ValidationError as error:
-        raise ValueError(f"{path}: {error}; mend the value") from error
+        raise ValueError(f"{path}: {error}; correct the value") from error
 
 
 def parse_bundle(raw: Any) -> Result[Bundle, str]:
-    """Reads a bundle from plain values and checks all of it."""
+    """Decodes a bundle from built-in values and validates it."""
     try:
         bundle = msgspec.convert(raw, Bundle)
     except msgspec.ValidationError as error:
-        return Err(f"{error}; mend the value or remove the key")
+        return Err(f"{error}; correct the value or remove the key")
     view = BundleView()
     view.install(0, "", to_rows(bundle))
     problem = next(view.problems(to_rows(bundle)), None)
@@ -159,28 +170,31 @@
 
 
 def row_hash(path: str, raw: Any) -> int:
-    """Returns a row's part of the content digest."""
+    """Returns a row's term in the content digest."""
     data = digest(path.encode(), canonical_bytes(raw))
     return int(data, 16)
 
 
 class OwnerIndex:
-    """Who names a key; while a change is on trial, several may."""
+    """Maps keys to the rows that own them.
+
+    A key has several owners only while an invalid change is being checked.
+    """
 
     def __init__(self):
         self.owner: dict[str, str] = {}
-        self.others: dict[str, list[str]] = {}
+        self.other_owners: dict[str, list[str]] = {}
 
     def add(self, key: str, name: str) -> None:
-        """Notes that `name` names the key."""
+        """Adds an owner of a key."""
         if key in self.owner:
-            self.others.setdefault(key, []).append(name)
+            self.other_owners.setdefault(key, []).append(name)
         else:
             self.owner[key] = name
 
     def remove(self, key: str, name: str) -> None:
-        """Notes that `name` names the key no longer."""
-        others = self.others.get(key, [])
+        """Removes an owner of a key."""
+        others = self.other_owners.get(key, [])
         if name in others:
             others.remove(name)
         elif others:
@@ -188,29 +202,28 @@
         else:
             del self.owner[key]
         if not others:
-            self.others.pop(key, None)
+            self.other_owners.pop(key, None)
 
     def get(self, key: str) -> str | None:
-        """Returns the owner, if there is one."""
+        """Returns the first owner of a key, or None."""
         return self.owner.get(key)
 
     def is_shared(self, key: str) -> bool:
-        """Returns whether more than one name the key."""
-        return key in self.others
+        """Returns whether a key has more than one owner."""
+        return key in self.other_owners
 
 
 class BundleView:
-    """A bundle in use: typed rows, with what is looked up by another key.
+    """A bundle in use: typed rows and indexes over them.
 
-    Applying a change costs in proportion to the change: the content digest
-    is a sum of row hashes, and look-ups are kept up to date row by row.
+    Applying a change takes time proportional to the change: the content
+    digest is a sum of row hashes, and the indexes are updated row by row.
 
     Attributes:
-        keeps_rows: Keeps the plain rows and their digest too, as a control
-            host must. A router has no use for them, and with 24,000
-            workspaces they would take it past its memory.
-        keeps_keys: Keeps the workspaces' API keys and services, as an
-            entry must; an agent only needs their shares.
+        keeps_rows: Whether to keep the plain rows and their digest. Only
+            control hosts need them; routers save the memory.
+        keeps_keys: Whether to keep the workspaces' API keys and services.
+            Entries need them; agents only need the shares.
     """
 
     def __init__(self, keeps_rows: bool = True, keeps_keys: bool = True):
@@ -219,7 +232,7 @@
         self.version = 0
         self.chain = ""
         self.rows: Rows = {}
-        self.content = 0
+        self.digest_sum = 0
         self.operators: dict[str, Operator] = {}
         self.workspaces: dict[str, Workspace] = {}
         self.services: dict[str, Service] = {}
@@ -230,30 +243,34 @@
         self.rules_of_service: dict[str, list[Rule]] = {}
 
     def install(self, version: int, chain: str, rows: Rows) -> None:
-        """Replaces everything by a snapshot."""
+        """Replaces the contents by a snapshot."""
         self.__init__(self.keeps_rows, self.keeps_keys)
         self.apply(rows, [])
         self.version = version
         self.chain = chain
 
     def apply(self, put: Rows, remove: list[str]) -> None:
-        """Applies a change that was checked."""
+        """Applies a change to the rows without validating it.
+
+        Raises:
+            ValueError: A path or a value in `put` is invalid.
+        """
         for path in remove:
-            self._drop(path)
+            self._remove_row(path)
         for path, raw in put.items():
-            self._drop(path)
-            self._put(path, raw)
+            self._remove_row(path)
+            self._put_row(path, raw)
 
-    def _put(self, path: str, raw: Any) -> None:
+    def _put_row(self, path: str, raw: Any) -> None:
         if self.keeps_rows:
             self.rows[path] = raw
-            self._add_content(row_hash(path, raw))
+            self._add_to_digest(row_hash(path, raw))
         value = row_value(path, raw)
         if path == POLICY_ROW:
             self.policy = value
             return
         if isinstance(value, Workspace):
-            value = self._compact(value)
+            value = self._reduce_workspace(value)
         section, _, name = path.partition("/")
         getattr(self, section)[name] = value
         if isinstance(value, Workspace):
@@ -267,17 +284,17 @@
             rules.append(value)
             rules.sort(key=lambda rule: -len(rule.path))
 
-    def _compact(self, value: Workspace) -> Workspace:
-        """Leaves out what is not used here and shares equal strings."""
+    def _reduce_workspace(self, value: Workspace) -> Workspace:
+        """Drops unneeded fields and interns service names to save memory."""
         if not self.keeps_keys:
             return msgspec.structs.replace(value, services=(), key_hashes=())
         services = tuple(sys.intern(name) for name in value.services)
         return msgspec.structs.replace(value, services=services)
 
-    def _drop(self, path: str) -> None:
+    def _remove_row(self, path: str) -> None:
         raw = self.rows.pop(path, None)
         if raw is not None:
-            self._add_content(-row_hash(path, raw))
+            self._add_to_digest(-row_hash(path, raw))
         if path == POLICY_ROW:
             self.policy = Policy()
             return
@@ -292,19 +309,19 @@
         elif isinstance(value, Rule):
             self.rules_of_service[value.service].remove(value)
 
-    def _add_content(self, amount: int) -> None:
-        self.content = (self.content + amount) % (1 << _DIGEST_BITS)
+    def _add_to_digest(self, amount: int) -> None:
+        self.digest_sum = (self.digest_sum + amount) % (1 << _DIGEST_BITS)
 
     @property
     def content_digest(self) -> str:
-        """A digest of all rows, whatever changes led to them."""
-        return f"{self.content:064x}"
+        """The digest of all rows, independent of their history, in hex."""
+        return f"{self.digest_sum:064x}"
 
     def rule_for(self, service: str, method: str, path: str) -> Rule:
         """Returns the rule with the longest matching prefix.
 
-        What no rule names may not be repeated: repeating by mistake charges
-        a card twice, not repeating by mistake only asks for a key.
+        Without a matching rule a request is treated as not repeatable,
+        because repeating one that has side effects is unsafe.
         """
         for rule in self.rules_of_service.get(service, []):
             if path.startswith(rule.path):
@@ -312,10 +329,10 @@
                     return rule
         return Rule(service)
 
-    # Checks.
+    # Validation.
 
     def problems(self, put: Rows) -> Iterator[str]:
-        """Yields what is wrong with rows that were just applied."""
+        """Yields the problems of rows that have just been applied."""
         for path, raw in put.items():
             value = row_value(path, raw)
             if isinstance(value, Workspace):
@@ -334,33 +351,35 @@
         if len(approvers) < MIN_APPROVERS:
             yield (
                 f"operators: {len(approvers)} approver(s); name at least "
-                f"{MIN_APPROVERS}, or no change could be approved any more"
+                f"{MIN_APPROVERS}, otherwise no change can be approved"
             )
 
     def removal_problems(self, remove: list[str]) -> Iterator[str]:
-        """Yields references that a removal leaves dangling."""
-        gone = {
+        """Yields the dangling references left by removed services."""
+        removed_services = {
             path.partition("/")[2]
             for path in remove
             if path.startswith("services/") and path not in self.rows
         }
-        if not gone:
+        if not removed_services:
             return
         for name, workspace in self.workspaces.items():
-            for service in gone.intersection(workspace.services):
+            for service in removed_services.intersection(workspace.services):
                 yield (
                     f"workspaces/{name}: service {service!r} is removed; "
-                    "take it from the workspace first"
+                    "remove it from the workspace first"
                 )
         for name, rule in self.rules.items():
-            if rule.service in gone:
+            if rule.service in removed_services:
                 yield f"rules/{name}: its service is removed; remove the rule"
 
     def _workspace_problems(self, path: str, value: Workspace) -> Iterator[str]:
         if not 0 < value.share < float("inf"):
             yield f"{path}.share: {value.share} must be a number above 0"
         if value.max_waiting < 1 or value.max_waiting_bytes < 1:
-            yield f"{path}: waiting limits must be at least 1"
+            yield (
+                f"{path}: max_waiting and max_waiting_bytes must be at least 1"
+            )
         for service in value.services:
             if service not in self.services:
                 yield (
@@ -369,18 +388,21 @@
                 )
         for key_hash in value.key_hashes:
             if len(key_hash) != KEY_HASH_HEX_DIGITS:
-                yield f"{path}.key_hashes: {key_hash!r} is no SHA-256 in hex"
+                yield (
+                    f"{path}.key_hashes: {key_hash!r} is not a SHA-256 hash "
+                    "in hex"
+                )
             elif self.workspace_of_key.is_shared(key_hash):
                 yield (
                     f"{path}.key_hashes: another workspace has the same key; "
-                    "make a new one with `marjoramctl key api`"
+                    "create a new one with `marjoramctl key api`"
                 )
 
     def _service_problems(self, path: str, value: Service) -> Iterator[str]:
         if value.kind not in ("engine", "plain"):
             yield f"{path}.kind: {value.kind!r}; use engine or plain"
         if min(value.stall_seconds, value.deadline_seconds) <= 0:
-            yield f"{path}: limits in seconds must be above 0"
+            yield f"{path}: stall_seconds and deadline_seconds must be above 0"
         for model in value.models:
             if self.service_of_model.is_shared(model):
                 yield f"{path}.models: {model!r} belongs to another service"
--- a/packages/coordination/src/marjoramyard/coordination/governance/commands.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated log and their replies."""
+"""The commands carried by the replicated log, and their reply."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 class Propose(msgspec.Struct, tag="propose", frozen=True):
-    """Files a signed change."""
+    """Proposes a signed change of the bundle."""
 
     change: Change
     signature: str
@@ -23,7 +23,7 @@
 
 
 class Approve(msgspec.Struct, tag="approve", frozen=True):
-    """Approves a change."""
+    """Approves a proposed change."""
 
     change_id: str
     operator: str
@@ -41,7 +41,7 @@
 
 
 class StartCall(msgspec.Struct, tag="start-call", frozen=True):
-    """An agent is about to send a call that must not repeat."""
+    """Starts an attempt of a non-repeatable call, before it is sent."""
 
     key: str
     body_digest: str
@@ -51,7 +51,7 @@
 
 
 class FinishCall(msgspec.Struct, tag="finish-call", frozen=True):
-    """An agent has the whole answer of a call."""
+    """Stores the complete response of a call."""
 
     key: str
     attempt: str
@@ -60,7 +60,7 @@
 
 
 class CancelCall(msgspec.Struct, tag="cancel-call", frozen=True):
-    """An entry gives a call up."""
+    """Cancels an attempt of a call that an entry has abandoned."""
 
     key: str
     body_digest: str
@@ -70,7 +70,7 @@
 
 
 class ReportDeath(msgspec.Struct, tag="report-death", frozen=True):
-    """An endpoint died while these requests ran on it."""
+    """Reports that an endpoint died while requests were running on it."""
 
     death_id: str
     fingerprints: list[str]
@@ -78,7 +78,7 @@
 
 
 class HoldSuspect(msgspec.Struct, tag="hold-suspect", frozen=True):
-    """An agent asks to be the one that runs a suspect."""
+    """Requests the exclusive right of an agent to run a suspect."""
 
     fingerprint: str
     agent: str
@@ -86,7 +86,7 @@
 
 
 class ReleaseSuspect(msgspec.Struct, tag="release-suspect", frozen=True):
-    """An agent is through with a suspect."""
+    """Releases the hold on a suspect; `clear` removes the suspicion."""
 
     fingerprint: str
     agent: str
@@ -95,7 +95,7 @@
 
 
 class IssueOrder(msgspec.Struct, tag="issue-order", frozen=True):
-    """An operator orders something of an endpoint."""
+    """Issues an operator's order to an endpoint."""
 
     endpoint: str
     action: str
@@ -105,11 +105,11 @@
 
 
 class ConfigDocument(msgspec.Struct, frozen=True):
-    """A fleet's whole configuration as its operator sent it.
+    """A fleet's complete configuration, as sent by an operator.
 
     Attributes:
-        version: The highest one rules.
-        text: The bytes as they came, so that a reader gets just these.
+        version: The version; the highest one is in force.
+        text: The document, byte for byte as received.
     """
 
     version: int
@@ -117,7 +117,7 @@
 
 
 class AcceptConfig(msgspec.Struct, tag="accept-config", frozen=True):
-    """An operator sends a whole configuration that was found valid."""
+    """Submits a complete configuration that has been validated."""
 
     document: ConfigDocument
     at: float = 0.0
@@ -139,7 +139,10 @@
 
 
 class Reply(msgspec.Struct, omit_defaults=True):
-    """What applying a command came to; the field of its sort is set."""
+    """The result of applying a command.
+
+    Only the fields that belong to the type of the command are set.
+    """
 
     change: ChangeRecord | None = None
     call: LedgerView | None = None
--- a/packages/coordination/src/marjoramyard/coordination/governance/directory.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/directory.py
@@ -1,24 +1,24 @@
-"""The directory of announced processes: soft state of the leader."""
+"""The directory of announced processes, kept in the leader's memory."""
 
 import msgspec
 
 ROW_TTL_SECONDS = 12.0
-"""A process that has not announced itself for so long is taken out."""
+"""How long a process stays in the directory without an announcement."""
 
 
 class DirectoryRow(msgspec.Struct, frozen=True):
     """One process of the fleet, as it announces itself.
 
     Attributes:
-        incarnation: Its life.
+        incarnation: The unique ID of this run of the process.
         role: entry or agent.
-        zone: Where it stands.
-        address: Its internal address.
-        service: What its endpoint serves, if it is an agent.
+        zone: The availability zone.
+        address: The internal address.
+        service: The service of the endpoint, for an agent.
         state: ready, leaving, or gone.
-        slots: How many requests its endpoint runs at once.
-        endpoint: The endpoint's own name.
-        checks_fencing: The endpoint refuses old fencing numbers.
+        slots: The number of requests that the endpoint runs concurrently.
+        endpoint: The name of the endpoint.
+        checks_fencing: Whether the endpoint rejects stale fencing numbers.
     """
 
     incarnation: str
@@ -33,13 +33,14 @@
 
 
 class DirectoryUpdate(msgspec.Struct):
-    """What a reader lacks.
+    """The changes since a reader's version.
 
     Attributes:
-        epoch: The leader's life as such; another one starts from nothing.
-        version: What the rows bring the reader to.
-        rows: Changed rows; state "gone" takes one out.
-        complete: Whether rows not named may be taken out after a new epoch.
+        epoch: The leadership period; versions restart with each epoch.
+        version: The reader's version after applying the rows.
+        rows: The changed rows; one with state "gone" is to be removed.
+        complete: Whether a reader may remove the rows that are not listed
+            after a change of epoch.
     """
 
     epoch: str
@@ -49,7 +50,7 @@
 
 
 class Directory:
-    """Rows in the order of their last change, so that readers get deltas."""
+    """Directory rows in the order of their last change."""
 
     def __init__(self, epoch: str, started_at: float):
         self.epoch = epoch
@@ -60,7 +61,7 @@
         self.announced_at: dict[str, float] = {}
 
     def announce(self, row: DirectoryRow, now: float) -> bool:
-        """Takes in a process's word; returns whether it changed anything."""
+        """Records an announcement; returns whether it changed the row."""
         self.announced_at[row.incarnation] = now
         if self.rows.get(row.incarnation) == row:
             return False
@@ -75,16 +76,20 @@
         self.versions[row.incarnation] = self.version
 
     def expire(self, now: float) -> bool:
-        """Takes out silent processes; forgets those long gone."""
+        """Marks unresponsive processes as gone and later deletes their rows.
+
+        Returns:
+            Whether a row was marked as gone.
+        """
         changed = False
-        for incarnation, heard_at in list(self.announced_at.items()):
+        for incarnation, announced_at in list(self.announced_at.items()):
             row = self.rows[incarnation]
-            if heard_at + ROW_TTL_SECONDS > now:
+            if announced_at + ROW_TTL_SECONDS > now:
                 continue
             if row.state != "gone":
                 self._put(msgspec.structs.replace(row, state="gone"))
                 changed = True
-            elif heard_at + 10 * ROW_TTL_SECONDS < now:
+            elif announced_at + 10 * ROW_TTL_SECONDS < now:
                 del self.rows[incarnation]
                 del self.versions[incarnation]
                 del self.announced_at[incarnation]
@@ -93,13 +98,13 @@
     def changes_since(
         self, epoch: str, version: int, now: float, role: str
     ) -> DirectoryUpdate:
-        """Returns what changed since a reader's version."""
+        """Returns the rows of a role that changed since a reader's version."""
         since = version if epoch == self.epoch else 0
-        found = []
+        changed_rows = []
         for incarnation in reversed(self.rows):
             if self.versions[incarnation] <= since:
                 break
             if self.rows[incarnation].role == role:
-                found.append(self.rows[incarnation])
+                changed_rows.append(self.rows[incarnation])
         complete = now - self.started_at > ROW_TTL_SECONDS
-        return DirectoryUpdate(self.epoch, self.version, found, complete)
+        return DirectoryUpdate(self.epoch, self.version, changed_rows, complete)
--- a/packages/coordination/src/marjoramyard/coordination/governance/lease.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/lease.py
@@ -1,15 +1,15 @@
-"""A router's lease on the bundle in force."""
+"""A router's lease on the configuration bundle in force."""
 
 LEASE_SECONDS = 8.0
-"""A router that is not renewed for so long takes no new work."""
+"""How long a router accepts new requests without a renewal."""
 
 
 class BundleLease:
-    """Says whether the bundle that a router holds is still in force.
+    """Tracks whether the bundle held by a router is still in force.
 
-    Time runs from when the renewal was sent, on the router's own monotonic
-    clock, so that no delay on the way back makes the lease outlive the
-    leader's promise.
+    A lease starts when the renewal request is sent, by the router's monotonic
+    clock, so that a delayed reply cannot extend it beyond what the leader
+    granted.
     """
 
     def __init__(self, seconds: float = LEASE_SECONDS):
@@ -17,11 +17,16 @@
         self.valid_until = float("-inf")
 
     def renew(self, sent_at: float, seconds: float) -> None:
-        """Takes in a renewal of a request that was sent at `sent_at`."""
+        """Renews the lease.
+
+        Args:
+            sent_at: When the renewal request was sent.
+            seconds: The duration granted by the leader.
+        """
         self.valid_until = max(
             self.valid_until, sent_at + min(seconds, self.seconds)
         )
 
     def is_valid(self, now: float) -> bool:
-        """Returns whether new work may be taken now."""
+        """Returns whether new requests may be accepted."""
         return now < self.valid_until
--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of calls that must not repeat."""
+"""The ledger of calls that must run at most once."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class CallState(Enum):
-    """Where a call stands. `STARTED` never goes back."""
+    """The state of a call. A started call is never cancelled."""
 
     STARTED = "started"
     DONE = "done"
@@ -18,7 +18,7 @@
 
 
 class StoredResponse(msgspec.Struct, frozen=True):
-    """The answer that a resend gets; the body is None if it was too large."""
+    """The response replayed to a retry; a too large body is None."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -30,8 +30,11 @@
     """One call.
 
     Attributes:
-        epoch: How often the call was cancelled; an attempt may start only
-            in the epoch in which it was admitted.
+        body_digest: The digest of the request body.
+        epoch: The number of cancellations. An attempt may start only in the
+            epoch in which it was admitted.
+        attempt: The attempt that last changed the state.
+        answer: The stored response, once the call is done.
     """
 
     state: CallState
@@ -42,10 +45,11 @@
 
 
 class LedgerView(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the ledger says of a call; no state means that it has none.
+    """The ledger's view of a call, returned by each operation.
 
     Attributes:
-        refusal: Why the operation asked for was not done.
+        state: The state of the call, or None if the ledger has no entry.
+        refusal: Why the operation was refused, if it was.
     """
 
     epoch: int = 0
@@ -56,18 +60,18 @@
 
 
 class Ledger:
-    """Decides, in log order, which attempt of a call may start."""
+    """Decides which attempt of a call may start, in log order."""
 
     def __init__(self, entries: dict[str, LedgerEntry]):
         self.entries = entries
 
     @staticmethod
     def key(workspace: str, idempotency_key: str) -> str:
-        """Returns the entry's key; keys of two workspaces never meet."""
+        """Returns the ledger key; it is unique across workspaces."""
         return f"{len(workspace)}:{workspace}:{idempotency_key}"
 
     def look_up(self, key: str, body_digest: str) -> LedgerView:
-        """Returns what stands, for an entry that is to admit a call."""
+        """Returns the current state of a call, for admission."""
         entry = self.entries.get(key)
         if entry is None:
             return LedgerView()
@@ -84,11 +88,10 @@
         epoch: int,
         capacity: int,
     ) -> LedgerView:
-        """Lets an attempt start, or says why not.
+        """Starts an attempt, or refuses it.
 
-        An attempt that was cancelled carries an old epoch, so it is refused
-        even if its agent was frozen for an hour, and even when a resend of
-        the call has been cancelled or started since.
+        A cancelled attempt has an outdated epoch, so it is refused however
+        late its agent asks, and whatever happened to later attempts.
         """
         entry = self.entries.get(key)
         if entry is None:
@@ -112,7 +115,7 @@
     def finish(
         self, key: str, attempt: str, answer: StoredResponse
     ) -> LedgerView:
-        """Stores the answer of the attempt that started."""
+        """Stores the response of the started attempt."""
         entry = self.entries.get(key)
         if entry is None or entry.attempt != attempt:
             return LedgerView(refusal=_cancelled())
@@ -129,7 +132,7 @@
         epoch: int,
         capacity: int,
     ) -> LedgerView:
-        """Rules out that an attempt starts later, unless it has started."""
+        """Prevents an attempt from starting, unless it has started already."""
         entry = self.entries.get(key)
         if entry is None:
             if len(self.entries) >= capacity:
@@ -162,22 +165,22 @@
 def _cancelled() -> Failure:
     return failure(
         Kind.CANCELLED,
-        "this attempt was given up before it started; send the call again "
-        "with the same Idempotency-Key",
+        "this attempt was cancelled before it started; send the request "
+        "again with the same Idempotency-Key",
     )
 
 
 def _full() -> Failure:
     return failure(
         Kind.LEDGER_FULL,
-        "the ledger of calls is full and forgets none; an operator must "
+        "the ledger of calls is full and evicts no entries; an operator must "
         "raise policy.ledger_capacity",
         retry_after=_FULL_RETRY_SECONDS,
     )
 
 
 def outcome_after_cancel(view: LedgerView, attempt: str) -> Outcome:
-    """Returns what may be told of an attempt after a cancel."""
+    """Returns the outcome of an attempt, given the view after a cancel."""
     if view.state is CallState.CANCELLED:
         return Outcome.NOT_RUN
     return Outcome.UNKNOWN
--- a/packages/coordination/src/marjoramyard/coordination/governance/orders.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, each with a fencing number from the log."""
+"""Operator orders to endpoints, fenced by numbers from the log."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order; a larger number is newer, over all endpoints."""
+    """An order; numbers increase across all endpoints."""
 
     number: int
     endpoint: str
@@ -16,11 +16,11 @@
 
 
 class FencingGuard:
-    """Stands before an endpoint and lets no older order pass.
+    """Rejects stale orders before they reach an endpoint.
 
-    Some endpoints ignore the number. For them this guard is the only one:
-    a leader that was frozen and sends its order late, or a restarted agent
-    that is handed an old one, must not undo a newer order.
+    This protects endpoints that do not check fencing numbers themselves
+    against late orders of a former leader and against outdated orders that
+    a restarted agent receives.
     """
 
     def __init__(self):
@@ -28,17 +28,17 @@
         self.has_observed = False
 
     def observe(self, number: int) -> None:
-        """Takes in the newest number from a confirmed leader."""
+        """Records the newest order number reported by a confirmed leader."""
         self.highest_seen = max(self.highest_seen, number)
         self.has_observed = True
 
     def admit(self, number: int) -> Failure | None:
-        """Returns why an order must not pass, or None."""
+        """Accepts an order and returns None, or returns why it is stale."""
         if not self.has_observed:
             return failure(
                 Kind.STALE_ORDER,
-                "the newest number is not known yet after a restart; it is "
-                "learned with the next lease",
+                "the newest order number is not known yet after a restart; it "
+                "arrives with the next lease renewal",
             )
         if number < self.highest_seen:
             return failure(
--- a/packages/coordination/src/marjoramyard/coordination/governance/state.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/state.py
@@ -1,4 +1,4 @@
-"""The replicated state: commands in log order, snapshots."""
+"""The replicated state machine: applies commands, makes snapshots."""
 
 from collections.abc import Callable
 from typing import Any
@@ -35,11 +35,11 @@
 
 Handler = Callable[["ControlState", Any], Reply]
 HANDLERS: Registry[Handler] = Registry("command")
-"""How each command is applied, by its type's name."""
+"""Command handlers by the name of the command type."""
 
 
 class ControlSnapshot(msgspec.Struct):
-    """The whole state, as it is stored."""
+    """The complete state in its stored form."""
 
     now: float = 0.0
     lifecycle: LifecycleState = msgspec.field(default_factory=LifecycleState)
@@ -55,7 +55,7 @@
 
 
 class ControlState:
-    """Applies commands; equal logs give equal states on every replica."""
+    """The replicated state; deterministic, so equal logs give equal states."""
 
     def __init__(self, snapshot: ControlSnapshot | None = None):
         stored = snapshot or ControlSnapshot()
@@ -69,13 +69,13 @@
 
     @classmethod
     def restore(cls, data: str) -> "ControlState":
-        """Reads a snapshot; empty text is the state before any command."""
+        """Decodes a snapshot; an empty string is the initial state."""
         if not data:
             return cls()
         return cls(msgspec.json.decode(data, type=ControlSnapshot))
 
     def snapshot(self) -> str:
-        """Returns the state as text."""
+        """Returns the state as JSON."""
         stored = ControlSnapshot(
             self.now,
             self.bundles.state,
@@ -89,17 +89,20 @@
         return msgspec.json.encode(stored).decode()
 
     def apply_encoded(self, data: str) -> Reply:
-        """Applies a command as the log holds it."""
+        """Applies a JSON-encoded command from the log."""
         return self.apply(_COMMAND_DECODER.decode(data))
 
     def apply(self, command: Command) -> Reply:
-        """Applies a command. Time never goes back, whoever leads."""
+        """Applies a command.
+
+        `now` never decreases, even if a new leader's clock is behind.
+        """
         self.now = max(self.now, command.at)
         return HANDLERS.get(type(command).__name__)(self, command)
 
     @property
     def ledger_capacity(self) -> int:
-        """How many calls the ledger may hold, by the bundle."""
+        """The maximum number of calls in the ledger, set by the bundle."""
         return self.bundles.view.policy.ledger_capacity
 
 
@@ -207,11 +210,10 @@
 
 @HANDLERS.register("AcceptConfig")
 def _accept_config(state: ControlState, command: AcceptConfig) -> Reply:
-    """Keeps the highest version; a lower or equal one changes nothing.
+    """Stores the document if its version is higher than the stored one.
 
-    Equal versions may come with other content when two operators race.
-    The first in the log stands, so no reader ever sees a version change
-    its content.
+    If two operators submit the same version with different content, the
+    first one in the log wins, so the content of a version never changes.
     """
     held = state.config
     if held is None or command.document.version > held.version:
--- a/packages/coordination/src/marjoramyard/coordination/governance/suspects.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/suspects.py
@@ -1,4 +1,4 @@
-"""Requests that may crash endpoints: suspected, held apart, convicted."""
+"""Identifies and quarantines requests that crash endpoints."""
 
 from enum import Enum
 
@@ -6,19 +6,19 @@
 
 HOLD_SECONDS = 120.0
 DEATHS_TO_CONVICT = 2
-_DEATHS_REMEMBERED = 5000
-_SUSPECT_SECONDS = 3600.0
+_MAX_DEATH_REPORTS = 5000
+_SUSPICION_SECONDS = 3600.0
 
 
 class Suspect(msgspec.Struct):
-    """A request, by fingerprint, that ran when an endpoint died.
+    """A request that was running when an endpoint died.
 
     Attributes:
-        deaths: How many endpoints died while it ran.
-        last_at: When the last one did.
-        held_by: The agent that may run it now.
-        held_until: When that hold lapses by itself.
-        convicted_until: Refused everywhere until then.
+        deaths: The number of endpoints that died while it was running.
+        last_at: The time of the last death.
+        held_by: The agent with the exclusive right to run it, if any.
+        held_until: When that right expires.
+        convicted_until: The end of its quarantine, in which it is refused.
     """
 
     deaths: int
@@ -29,7 +29,7 @@
 
 
 class Standing(Enum):
-    """What is known of a fingerprint."""
+    """The status of a request fingerprint."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -37,12 +37,12 @@
 
 
 class Suspects:
-    """Finds the request that kills endpoints at the cost of two of them.
+    """Identifies the request that crashes endpoints by the second crash.
 
-    The first death can't tell the culprit from the bystanders beside it.
-    From then on each suspect runs at one endpoint at a time, one suspect an
-    endpoint, so the second death names the culprit, and a bystander that
-    ends well is cleared.
+    After a first crash all requests that were running are suspects. Each
+    suspect then runs on one endpoint at a time, with at most one suspect per
+    endpoint, so a second crash identifies the cause. A suspect that completes
+    is cleared.
     """
 
     def __init__(self, records: dict[str, Suspect], death_reports: list[str]):
@@ -50,7 +50,7 @@
         self.death_reports = death_reports
 
     def standing(self, fingerprint: str, at: float) -> Standing:
-        """Returns what holds for a fingerprint now."""
+        """Returns the status of a fingerprint."""
         suspect = self.records.get(fingerprint)
         if suspect is None:
             return Standing.CLEAR
@@ -65,15 +65,24 @@
         at: float,
         quarantine: float,
     ) -> list[str]:
-        """Takes in that an endpoint died; returns who is convicted by it.
+        """Records the death of an endpoint.
 
-        An agent and several entries may report the same death; for each
-        request it counts once.
+        A death that is reported several times, by an agent and by entries,
+        counts once per request.
+
+        Args:
+            death_id: Identifies the death in all reports of it.
+            fingerprints: The requests that were running on the endpoint.
+            at: The time of the report.
+            quarantine: How long to refuse a convicted request, in seconds.
+
+        Returns:
+            The fingerprints convicted by this death.
         """
-        self._forget(at)
+        self._remove_expired(at)
         convicted = []
         for fingerprint in fingerprints:
-            if not self._is_news(f"{death_id} {fingerprint}"):
+            if not self._is_new_report(f"{death_id} {fingerprint}"):
                 continue
             suspect = self.records.setdefault(fingerprint, Suspect(0, at))
             suspect.deaths += 1
@@ -84,15 +93,15 @@
                 convicted.append(fingerprint)
         return convicted
 
-    def _is_news(self, report: str) -> bool:
+    def _is_new_report(self, report: str) -> bool:
         if report in self.death_reports:
             return False
         self.death_reports.append(report)
-        del self.death_reports[:-_DEATHS_REMEMBERED]
+        del self.death_reports[:-_MAX_DEATH_REPORTS]
         return True
 
     def hold(self, fingerprint: str, agent: str, at: float) -> bool:
-        """Lets one agent at a time run a suspect."""
+        """Grants an agent the exclusive right to run a suspect, if free."""
         suspect = self.records.get(fingerprint)
         if suspect is None:
             return True
@@ -105,7 +114,7 @@
         return True
 
     def release(self, fingerprint: str, agent: str, clear: bool) -> None:
-        """Ends a hold; a request that ended well is cleared."""
+        """Ends an agent's hold; `clear` also removes the suspicion."""
         suspect = self.records.get(fingerprint)
         if suspect is None or suspect.held_by != agent:
             return
@@ -113,12 +122,14 @@
         if clear:
             del self.records[fingerprint]
 
-    def _forget(self, at: float) -> None:
-        old = [
+    def _remove_expired(self, at: float) -> None:
+        expired = [
             fingerprint
             for fingerprint, suspect in self.records.items()
-            if max(suspect.last_at + _SUSPECT_SECONDS, suspect.convicted_until)
+            if max(
+                suspect.last_at + _SUSPICION_SECONDS, suspect.convicted_until
+            )
             < at
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self.records[fingerprint]
--- a/packages/coordination/tests/governance/test_bundle_lifecycle.py
+++ b/packages/coordination/tests/governance/test_bundle_lifecycle.py
@@ -1,4 +1,4 @@
-"""One version line: races, resends, restores, the audit chain."""
+"""Tests of bundle versions: races, retries, restores, the audit chain."""
 
 import copy
 
@@ -33,12 +33,12 @@
     return {"share": share, "services": ["chat"], "key_hashes": [key * 64]}
 
 
-class Line:
-    """A lifecycle with short ways to drive it."""
+class History:
+    """A bundle lifecycle with helpers that propose and roll changes."""
 
     def __init__(self):
         self.bundles = BundleLifecycle(LifecycleState())
-        self.made = 0
+        self.proposed = 0
         self.roll(FIRST)
 
     @property
@@ -46,13 +46,13 @@
         return self.bundles.state.version
 
     def change(self, put, remove=(), base=None, restores=None):
-        self.made += 1
+        self.proposed += 1
         base = self.version if base is None else base
-        name = f"change-{self.made}"
+        name = f"change-{self.proposed}"
         return Change(name, base, "awa", put, list(remove), restores)
 
     def propose(self, change):
-        return self.bundles.propose(change, "sig", float(self.made))
+        return self.bundles.propose(change, "sig", float(self.proposed))
 
     def approve(self, change):
         return self.bundles.approve(change.change_id, "bento", "sig", 1.0)
@@ -66,31 +66,27 @@
         return change
 
 
-def test_two_operators_race_and_exactly_one_wins():
-    """Both write against version 1 and both get their approval.
-
-    The second roll must not overwrite the first unseen: it is refused and
-    told what is in force.
-    """
-    line = Line()
-    one = line.change({"workspaces/a": workspace(key="a")})
-    two = line.change({"workspaces/b": workspace(key="b")})
+def test_only_one_of_two_concurrent_changes_is_rolled():
+    """Guards against: a roll that overwrites a concurrent change."""
+    history = History()
+    one = history.change({"workspaces/a": workspace(key="a")})
+    two = history.change({"workspaces/b": workspace(key="b")})
     for change in (one, two):
-        assert line.propose(change).is_ok()
-        assert line.approve(change).is_ok()
-    assert line.bundles.roll(one.change_id, "awa", "s", 1.0).is_ok()
-    lost = line.bundles.roll(two.change_id, "awa", "s", 1.0).err()
-    assert lost.kind is Kind.CONFLICT
-    assert "version 2 by awa is in force" in lost.message
-    assert "workspaces/b" not in line.bundles.view.rows
-
-
-def test_a_resend_returns_its_first_outcome_also_after_a_snapshot():
-    """The operator's answer was lost; control restarts; the tool resends."""
-    line = Line()
-    change = line.roll({"workspaces/a": workspace()})
-    line.roll({"workspaces/a": workspace(2.0)})
-    stored = msgspec.json.encode(line.bundles.state)
+        assert history.propose(change).is_ok()
+        assert history.approve(change).is_ok()
+    assert history.bundles.roll(one.change_id, "awa", "s", 1.0).is_ok()
+    conflict = history.bundles.roll(two.change_id, "awa", "s", 1.0).err()
+    assert conflict.kind is Kind.CONFLICT
+    assert "version 2 by awa is in force" in conflict.message
+    assert "workspaces/b" not in history.bundles.view.rows
+
+
+def test_a_retry_returns_its_first_outcome_also_after_a_snapshot():
+    """Guards against: a retried action that is applied twice."""
+    history = History()
+    change = history.roll({"workspaces/a": workspace()})
+    history.roll({"workspaces/a": workspace(2.0)})
+    stored = msgspec.json.encode(history.bundles.state)
     again = BundleLifecycle(msgspec.json.decode(stored, type=LifecycleState))
     for outcome in (
         again.propose(change, "sig", 9.0),
@@ -101,45 +97,45 @@
     assert again.state.version == 3
 
 
-def test_a_change_id_names_one_change_only():
-    line = Line()
-    change = line.roll({"workspaces/a": workspace()})
+def test_a_change_id_cannot_be_reused_for_another_change():
+    history = History()
+    change = history.roll({"workspaces/a": workspace()})
     other = msgspec.structs.replace(change, note="another")
-    assert line.propose(other).err().kind is Kind.CONFLICT
+    assert history.propose(other).err().kind is Kind.CONFLICT
 
 
-def test_an_old_bundle_is_refused_unless_it_is_restored_on_purpose():
-    """A script sends last week's bundle again, under a new change id."""
-    line = Line()
-    line.roll({"workspaces/a": workspace(1.0)})
-    line.roll({"workspaces/a": workspace(5.0)})
-    old = line.change({"workspaces/a": workspace(1.0)})
-    refused = line.propose(old).err()
+def test_an_old_bundle_is_refused_unless_it_is_restored_explicitly():
+    """Guards against: an outdated bundle sent again under a new change ID."""
+    history = History()
+    history.roll({"workspaces/a": workspace(1.0)})
+    history.roll({"workspaces/a": workspace(5.0)})
+    old = history.change({"workspaces/a": workspace(1.0)})
+    refused = history.propose(old).err()
     assert refused.kind is Kind.CONFLICT
     assert "restore 2" in refused.message
-    line.roll({"workspaces/a": workspace(1.0)}, restores=2)
-    assert line.version == 4
+    history.roll({"workspaces/a": workspace(1.0)}, restores=2)
+    assert history.version == 4
 
 
-def test_a_restore_must_be_what_it_says():
-    line = Line()
-    line.roll({"workspaces/a": workspace(1.0)})
-    wrong = line.change({"workspaces/a": workspace(7.0)}, restores=1)
-    assert line.propose(wrong).err().kind is Kind.INVALID_BUNDLE
+def test_a_restore_must_have_the_content_of_its_version():
+    history = History()
+    history.roll({"workspaces/a": workspace(1.0)})
+    wrong = history.change({"workspaces/a": workspace(7.0)}, restores=1)
+    assert history.propose(wrong).err().kind is Kind.INVALID_BUNDLE
 
 
-def test_nobody_approves_their_own_change():
-    line = Line()
-    change = line.change({"workspaces/a": workspace()})
-    line.propose(change)
-    own = line.bundles.approve(change.change_id, "awa", "sig", 1.0)
+def test_an_author_cannot_approve_their_own_change():
+    history = History()
+    change = history.change({"workspaces/a": workspace()})
+    history.propose(change)
+    own = history.bundles.approve(change.change_id, "awa", "sig", 1.0)
     assert own.err().kind is Kind.INVALID_SIGNATURE
-    early = line.bundles.roll(change.change_id, "awa", "sig", 1.0)
+    early = history.bundles.roll(change.change_id, "awa", "sig", 1.0)
     assert early.err().kind is Kind.CONFLICT
 
 
 @pytest.mark.parametrize(
-    ("put", "remove", "words"),
+    ("put", "remove", "fragment"),
     [
         ({"workspaces/b": workspace(0)}, (), "share"),
         ({"workspaces/b": workspace(key="a")}, (), "same key"),
@@ -152,22 +148,22 @@
         ({"rules/r": {"service": "chat", "path": "x"}}, (), "begin with /"),
         ({"services/s": {"kind": "odd"}}, (), "engine or plain"),
         ({"odd/s": {}}, (), "no such section"),
-        ({"workspaces/b": {"shares": 1}}, (), "mend"),
+        ({"workspaces/b": {"shares": 1}}, (), "correct the value"),
         ({}, ("services/chat",), "is removed"),
         ({}, ("services/none",), "not in force"),
         ({}, ("operators/bento",), "approver"),
         ({"policy": {"retry_ratio": -1}}, (), "negative"),
     ],
 )
-def test_a_wrong_bundle_is_refused_with_path_and_remedy(put, remove, words):
-    line = Line()
-    line.roll({"workspaces/a": workspace()})
-    before = copy.deepcopy(line.bundles.view.rows)
-    refused = line.propose(line.change(put, remove)).err()
+def test_an_invalid_change_is_refused_and_reverted(put, remove, fragment):
+    history = History()
+    history.roll({"workspaces/a": workspace()})
+    before = copy.deepcopy(history.bundles.view.rows)
+    refused = history.propose(history.change(put, remove)).err()
     assert refused.kind is Kind.INVALID_BUNDLE
-    assert words in refused.message
-    assert line.bundles.view.rows == before
-    assert line.bundles.view.workspace_of_key.get("a" * 64) == "a"
+    assert fragment in refused.message
+    assert history.bundles.view.rows == before
+    assert history.bundles.view.workspace_of_key.get("a" * 64) == "a"
 
 
 _puts = st.lists(
@@ -180,54 +176,58 @@
 
 
 @given(_puts)
-def test_deltas_lead_to_what_a_snapshot_holds(puts):
-    """A router that follows deltas and one that gets snapshots agree."""
-    line = Line()
+def test_deltas_and_snapshots_give_the_same_bundle(puts):
+    """Guards against: routers whose bundle differs after applying deltas."""
+    history = History()
     router = BundleView()
-    router.install(1, line.bundles.state.chain, dict(line.bundles.view.rows))
+    router.install(
+        1, history.bundles.state.chain, dict(history.bundles.view.rows)
+    )
     for name, share in puts:
         path = f"workspaces/{name}"
-        known = path in line.bundles.view.rows
+        known = path in history.bundles.view.rows
         put, remove = {}, ()
         if share is None and known:
             remove = (path,)
         elif share is not None:
             put = {path: workspace(share, name)}
-        change = line.change(put, remove)
-        if not line.propose(change).is_ok():
+        change = history.change(put, remove)
+        if not history.propose(change).is_ok():
             continue
-        line.approve(change)
-        line.bundles.roll(change.change_id, "awa", "sig", 1.0)
-    deltas = line.bundles.deltas_after(1, router.chain)
+        history.approve(change)
+        history.bundles.roll(change.change_id, "awa", "sig", 1.0)
+    deltas = history.bundles.deltas_after(1, router.chain)
     for delta in deltas:
         router.apply(delta.put, delta.remove)
         router.chain = delta.chain
-    assert router.rows == line.bundles.view.rows
-    assert router.content_digest == line.bundles.view.content_digest
-    assert router.chain == line.bundles.state.chain
-    assert rows_at(line.bundles.state.audit, line.version) == router.rows
+    assert router.rows == history.bundles.view.rows
+    assert router.content_digest == history.bundles.view.content_digest
+    assert router.chain == history.bundles.state.chain
+    assert rows_at(history.bundles.state.audit, history.version) == router.rows
 
 
-def test_another_line_of_history_under_the_same_number_gets_a_snapshot():
-    line = Line()
-    line.roll({"workspaces/a": workspace()})
-    assert line.bundles.deltas_after(1, "not our chain") is None
+def test_a_router_with_a_different_history_gets_a_snapshot():
+    history = History()
+    history.roll({"workspaces/a": workspace()})
+    assert history.bundles.deltas_after(1, "another chain digest") is None
 
 
 @given(st.integers(0, 100), st.sampled_from(["who", "version", "previous"]))
-def test_an_altered_audit_record_is_found(place, field):
-    line = Line()
-    line.roll({"workspaces/a": workspace()})
-    records = list(line.bundles.state.audit)
+def test_an_altered_audit_record_is_detected(position, field):
+    history = History()
+    history.roll({"workspaces/a": workspace()})
+    records = list(history.bundles.state.audit)
     assert verify_chain(records).is_ok()
-    place %= len(records)
+    position %= len(records)
     altered = 99 if field == "version" else "x" * 64
-    records[place] = msgspec.structs.replace(records[place], **{field: altered})
-    assert f"record {place + 1}" in verify_chain(records).err()
-    assert verify_chain(records[:-1]).is_err() or place == len(records) - 1
+    records[position] = msgspec.structs.replace(
+        records[position], **{field: altered}
+    )
+    assert f"record {position + 1}" in verify_chain(records).err()
+    assert verify_chain(records[:-1]).is_err() or position == len(records) - 1
 
 
-def test_a_whole_bundle_file_is_checked():
+def test_a_complete_bundle_file_is_validated():
     good = {
         "operators": {
             "awa": {"public_key": "0" * 64},
--- a/packages/coordination/tests/governance/test_ledger_properties.py
+++ b/packages/coordination/tests/governance/test_ledger_properties.py
@@ -1,4 +1,4 @@
-"""At most once, and "not run" is true, over every interleaving."""
+"""Property tests of the call ledger: at most once, truthful outcomes."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -14,16 +14,14 @@
 
 KEY, DIGEST = "1:w:key", "digest"
 _pick = st.integers(0, 20)
-ANSWER = StoredResponse(201, [], None, "x")
+RESPONSE = StoredResponse(201, [], None, "x")
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Callers resend through many entries; agents freeze and thaw.
+    """Interleaves admission, start, sending and cancellation of attempts.
 
-    An attempt is admitted, asks to start, is sent some time after (a
-    freeze may lie between) and may be given up by its entry at any point.
-    The endpoint must see the call at most once, and never an attempt of
-    which a caller was told "not run".
+    Guards against a call that reaches the endpoint twice, and against a
+    "not run" outcome for an attempt that was allowed to start.
     """
 
     def __init__(self):
@@ -32,20 +30,20 @@
         self.epochs = {}
         self.allowed = []
         self.sent = []
-        self.told_not_run = set()
+        self.reported_not_run = set()
 
     def attempt(self, pick):
         names = sorted(self.epochs)
         return names[pick % len(names)] if names else None
 
     @rule()
-    def caller_sends_through_an_entry(self):
+    def entry_admits_an_attempt(self):
         view = self.ledger.look_up(KEY, DIGEST)
         if view.state in (None, CallState.CANCELLED):
             self.epochs[f"attempt-{len(self.epochs):03d}"] = view.epoch
 
     @rule(pick=_pick)
-    def agent_asks_to_start(self, pick):
+    def agent_starts_an_attempt(self, pick):
         name = self.attempt(pick)
         if name is None:
             return
@@ -55,47 +53,43 @@
             self.allowed.append(name)
 
     @rule(pick=_pick)
-    def agent_sends_after_any_pause(self, pick):
+    def agent_sends_an_attempt(self, pick):
         if self.allowed:
             name = self.allowed[pick % len(self.allowed)]
             if name not in self.sent:
                 self.sent.append(name)
 
     @rule(pick=_pick)
-    def agent_has_the_answer(self, pick):
+    def agent_stores_the_response(self, pick):
         if self.sent:
             name = self.sent[pick % len(self.sent)]
-            self.ledger.finish(KEY, name, ANSWER)
+            self.ledger.finish(KEY, name, RESPONSE)
 
     @rule(pick=_pick)
-    def entry_gives_up(self, pick):
+    def entry_cancels_an_attempt(self, pick):
         name = self.attempt(pick)
         if name is None:
             return
         view = self.ledger.cancel(KEY, DIGEST, name, self.epochs[name], 10)
         if outcome_after_cancel(view, name) is Outcome.NOT_RUN:
-            self.told_not_run.add(name)
+            self.reported_not_run.add(name)
 
     @invariant()
-    def the_endpoint_sees_the_call_at_most_once(self):
+    def call_reaches_the_endpoint_at_most_once(self):
         assert len(self.allowed) <= 1
         assert len(self.sent) <= 1
 
     @invariant()
-    def not_run_is_true(self):
-        assert not self.told_not_run.intersection(self.allowed)
+    def not_run_attempts_were_not_allowed(self):
+        assert not self.reported_not_run.intersection(self.allowed)
 
 
 TestLedger = LedgerMachine.TestCase
 TestLedger.settings = settings(max_examples=300, stateful_step_count=40)
 
 
-def test_a_thawed_agent_cannot_start_an_attempt_that_was_cancelled():
-    """The entry gives up, tells "not run", and the caller sends again.
-
-    The second attempt is given up too. An hour later the first agent
-    thaws and asks to start: its epoch is old, so it is refused.
-    """
+def test_a_cancelled_attempt_cannot_start_after_a_retry():
+    """Guards against: a suspended agent that starts a cancelled attempt."""
     ledger = Ledger({})
     ledger.cancel(KEY, DIGEST, "first", 0, 10)
     ledger.cancel(KEY, DIGEST, "second", 1, 10)
@@ -103,7 +97,7 @@
     assert view.refusal.kind is Kind.CANCELLED
 
 
-def test_the_same_key_with_another_body_is_an_error():
+def test_reusing_a_key_with_another_body_is_refused():
     ledger = Ledger({})
     ledger.start(KEY, DIGEST, "a", 0, 10)
     assert ledger.look_up(KEY, "other").refusal.kind is Kind.KEY_REUSED
@@ -111,8 +105,8 @@
     assert view.refusal.kind is Kind.KEY_REUSED
 
 
-def test_a_full_ledger_refuses_new_calls_and_forgets_none():
-    """Forgetting an old call would let its resend book a second time."""
+def test_a_full_ledger_refuses_new_calls_and_evicts_none():
+    """Guards against: a retry of an evicted call that runs again."""
     ledger = Ledger({})
     ledger.start("old", DIGEST, "a", 0, 1)
     view = ledger.start("new", DIGEST, "b", 0, 1)
@@ -120,5 +114,5 @@
     assert ledger.look_up("old", DIGEST).state is CallState.STARTED
 
 
-def test_keys_of_two_workspaces_never_meet():
+def test_ledger_keys_are_unique_across_workspaces():
     assert Ledger.key("a", "b:c") != Ledger.key("a:b", "c")
--- a/packages/coordination/tests/governance/test_suspects.py
+++ b/packages/coordination/tests/governance/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash endpoints: two endpoints lost, no more."""
+"""Tests of the quarantine of requests that crash endpoints."""
 
 from marjoramyard.coordination.governance.suspects import (
     HOLD_SECONDS,
@@ -7,11 +7,11 @@
 )
 
 
-def test_the_second_death_convicts_and_bystanders_are_cleared():
-    """A poison request and two innocent ones run when an engine dies.
+def test_the_second_death_convicts_and_other_suspects_are_cleared():
+    """Guards against: a request that crashes more than two endpoints.
 
-    All three are suspects. The innocent ones run again apart, end well and
-    are cleared; the poison kills a second engine and is refused from then.
+    The other requests that ran during the first crash are cleared once they
+    complete.
     """
     suspects = Suspects({}, [])
     suspects.report_death("engine-1", ["poison", "x", "y"], 0.0, 60.0)
@@ -30,7 +30,7 @@
 
 
 def test_a_suspect_runs_at_one_agent_at_a_time():
-    """Its caller sends it through all entries at once."""
+    """Guards against: a suspect that crashes several endpoints at once."""
     suspects = Suspects({}, [])
     suspects.report_death("engine-1", ["p"], 0.0, 60.0)
     assert suspects.hold("p", "agent-1", 1.0)
@@ -39,8 +39,8 @@
     assert suspects.hold("p", "agent-2", 3.0 + HOLD_SECONDS)
 
 
-def test_one_death_reported_by_many_counts_once():
-    """The agent and three entries report the same death of an endpoint."""
+def test_a_death_with_several_reports_counts_once():
+    """Guards against: convicting a request because of duplicate reports."""
     suspects = Suspects({}, [])
     for _ in range(4):
         suspects.report_death("engine-1", ["p"], 0.0, 60.0)
