--- a/packages/coordination/src/marjoramyard/coordination/consensus/membership_plan.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/membership_plan.py
@@ -31,7 +31,7 @@
     address: str = ""
 
 
-class Candidate(msgspec.Struct, frozen=True):
+class AvailableHost(msgspec.Struct, frozen=True):
     """A running host that can hold a replica."""
 
     replica: ReplicaId
@@ -41,8 +41,8 @@
 
 def next_step(
     membership: Membership,
-    wanted: int,
-    candidates: Iterable[Candidate],
+    target_voters: int,
+    available_hosts: Iterable[AvailableHost],
     lost: set[ReplicaId],
     caught_up: set[ReplicaId],
 ) -> Step | None:
@@ -50,26 +50,26 @@
 
     Args:
         membership: The current membership.
-        wanted: The target number of voters.
-        candidates: Running hosts with a disk, whether members or not.
+        target_voters: The target number of voters.
+        available_hosts: Running hosts with a disk, members or not.
         lost: Members that are considered permanently lost.
         caught_up: Learners that have synced all committed entries.
     """
     lost_voters = [r for r in membership.voters if r in lost]
     alive = len(membership.voters) - len(lost_voters)
-    if lost_voters and alive >= wanted:
+    if lost_voters and alive >= target_voters:
         return Step(StepKind.REMOVE, lost_voters[0])
     for replica in membership.learners:
         if replica in lost:
             return Step(StepKind.REMOVE, replica)
-    if alive < wanted:
+    if alive < target_voters:
         for replica in membership.learners:
             if replica in caught_up:
                 return Step(StepKind.PROMOTE, replica)
-    for candidate in candidates:
-        if candidate.replica not in membership.members:
-            return Step(StepKind.ADD, candidate.replica, candidate.address)
-    if not lost_voters and len(membership.voters) > wanted:
+    for host in available_hosts:
+        if host.replica not in membership.members:
+            return Step(StepKind.ADD, host.replica, host.address)
+    if not lost_voters and len(membership.voters) > target_voters:
         return Step(StepKind.REMOVE, membership.voters[-1])
     return None
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/audit.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/audit.py
@@ -16,7 +16,7 @@
     Attributes:
         number: The position in the chain, from 1.
         at: The time in seconds since the Unix epoch, by the leader's clock.
-        action: propose, approve, roll or refuse.
+        action: propose, approve or roll.
         who: The operator's name.
         change_id: The change acted on.
         version: The bundle version in force after the action.
--- a/packages/coordination/tests/consensus/test_membership_plan.py
+++ b/packages/coordination/tests/consensus/test_membership_plan.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from marjoramyard.coordination.consensus.membership_plan import (
-    Candidate,
+    AvailableHost,
     Step,
     StepKind,
     apply_step,
@@ -21,8 +21,8 @@
     return Membership(tuple(voters), tuple(learners), ADDRESSES)
 
 
-def candidates(*replicas):
-    return [Candidate(replica, ADDRESSES[replica]) for replica in replicas]
+def available_hosts(*replicas):
+    return [AvailableHost(replica, ADDRESSES[replica]) for replica in replicas]
 
 
 def test_a_wiped_voter_is_replaced_before_it_is_removed():
@@ -33,7 +33,9 @@
     membership = members((A, B, C))
     steps = []
     for caught_up in (set(), set(), {D}, {D}):
-        step = next_step(membership, 3, candidates(A, B, D), {C}, caught_up)
+        step = next_step(
+            membership, 3, available_hosts(A, B, D), {C}, caught_up
+        )
         if step is None:
             continue
         steps.append((step.kind, step.replica))
@@ -47,9 +49,9 @@
 
 
 def test_a_lost_voter_without_a_replacement_stays():
-    assert next_step(members((A, B, C)), 3, candidates(A, B), {C}, set()) is (
-        None
-    )
+    assert next_step(
+        members((A, B, C)), 3, available_hosts(A, B), {C}, set()
+    ) is (None)
 
 
 def test_a_lost_learner_is_removed():
@@ -68,7 +70,7 @@
     membership = members((A, B, C))
     for _ in range(6):
         step = next_step(
-            membership, 3, candidates(*sorted(announced)), lost, caught_up
+            membership, 3, available_hosts(*sorted(announced)), lost, caught_up
         )
         if step is None:
             return
--- a/packages/fleet/src/marjoramyard/fleet/control/keeper.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/keeper.py
@@ -11,7 +11,7 @@
 from result import Err, Ok
 
 from marjoramyard.coordination.consensus.membership_plan import (
-    Candidate,
+    AvailableHost,
     Step,
     StepKind,
     apply_step,
@@ -249,14 +249,14 @@
             done=isinstance(done, Ok),
         )
 
-    def _candidates(self, now: float) -> list[Candidate]:
+    def _candidates(self, now: float) -> list[AvailableHost]:
         """Returns the hosts with a disk that announced themselves lately."""
         found = []
         for address, host in self.seen.items():
             fresh = now - self.seen_at[address] < FRESH_SECONDS
             if host.replica and fresh:
                 found.append(
-                    Candidate(ReplicaId(host.replica), address, host.zone)
+                    AvailableHost(ReplicaId(host.replica), address, host.zone)
                 )
         return found
 
