--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -14,9 +14,9 @@
     Registration,
     Registrations,
 )
-from marjoramyard.coordination.placement.candidates import (
+from marjoramyard.coordination.placement.broker_selection import (
     BrokerCandidate,
-    BrokerChoice,
+    BrokerSelector,
 )
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.control.node import no_quorum
@@ -65,7 +65,7 @@
         self.news = asyncio.Event()
         self.gateways: dict[str, tuple[float, SyncRequest]] = {}
         self.unsent: dict[str, dict[str, Registration]] = {}
-        self.broker_choice = BrokerChoice()
+        self.broker_selector = BrokerSelector()
 
     # Registrations.
 
@@ -77,7 +77,7 @@
 
     def depart(self, endpoint: str) -> None:
         """Takes in that an endpoint has left."""
-        gone = self.table.depart(endpoint, time.monotonic())
+        gone = self.table.mark_departed(endpoint, time.monotonic())
         if gone is not None:
             self._mark(gone)
             for queue in self.unsent.values():
@@ -114,7 +114,7 @@
         queue = self.unsent.get(peer)
         self.unsent[peer] = {}
         if queue is None:
-            return list(self.table.words())
+            return list(self.table.all())
         return list(queue.values())
 
     def words_lost(self, peer: str) -> None:
@@ -127,12 +127,13 @@
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
             now = time.monotonic()
-            self.table.forget(now)
+            self.table.expire_departed(now)
             silent = {
                 word.endpoint
-                for word in self.table.words()
+                for word in self.table.all()
                 if word.state is not EndpointState.DEPARTED
-                and self.table.silent_for(word.endpoint, now) > limit
+                and self.table.seconds_since_received(word.endpoint, now)
+                > limit
             }
             if silent != self.silent:
                 logger.info("endpoints_silent", endpoints=sorted(silent))
@@ -277,7 +278,7 @@
             newest if version > asked.version else None,
             [
                 word
-                for word in self.table.words()
+                for word in self.table.all()
                 if self.changed_at.get(word.endpoint, 0) > after
             ],
             sorted(self.silent),
@@ -289,7 +290,7 @@
     def _brokers(self) -> list[str]:
         """Returns the gateways to broker, in an order that stays."""
         now = time.monotonic()
-        return self.broker_choice.choose(
+        return self.broker_selector.choose(
             BrokerCandidate(asked.name, asked.address, asked.capacity)
             for at, asked in self.gateways.values()
             if asked.capacity > 0 and now - at < _BROKER_FRESH_SECONDS
