--- a/packages/coordination/src/marjoramyard/coordination/consensus/log.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/log.py
@@ -40,7 +40,7 @@
         self.entries += entries
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replaces the entries up to the snapshot's index by the snapshot.
+        """Replaces the entries up to the snapshot's index with the snapshot.
 
         The later entries are discarded too if the log holds a different
         term at that index, or does not reach it.
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
@@ -203,7 +203,7 @@
                 self._become_follower(self.term, NO_REPLICA)
 
     def compact(self, index: int, data: str) -> Snapshot:
-        """Replaces the log up to the applied entry `index` by a snapshot.
+        """Replaces the log up to the applied entry `index` with a snapshot.
 
         Args:
             index: The last entry that the snapshot covers.
--- a/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
@@ -243,7 +243,7 @@
         self.rules_of_service: dict[str, list[Rule]] = {}
 
     def install(self, version: int, chain: str, rows: Rows) -> None:
-        """Replaces the contents by a snapshot."""
+        """Replaces the contents with a snapshot."""
         self.__init__(self.keeps_rows, self.keeps_keys)
         self.apply(rows, [])
         self.version = version
--- a/packages/coordination/src/marjoramyard/coordination/governance/commands.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/commands.py
@@ -15,7 +15,7 @@
 
 
 class Propose(msgspec.Struct, tag="propose", frozen=True):
-    """Proposes a signed change of the bundle."""
+    """Proposes a signed change to the bundle."""
 
     change: Change
     signature: str
--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -18,7 +18,7 @@
 
 
 class StoredResponse(msgspec.Struct, frozen=True):
-    """The response replayed to a retry; a too large body is None."""
+    """The response replayed to retries; no body if it was too large."""
 
     status: int
     headers: list[tuple[str, str]]
