--- a/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Sends the log to the other replicas and decides what is committed."""
+"""Log replication: appends, snapshots, commit index, heartbeat rounds."""
 
 from marjoramyard.coordination.consensus.log import ReplicatedLog
 from marjoramyard.coordination.consensus.messages import (
@@ -13,32 +13,32 @@
 
 
 class Replication(ReplicaState):
-    """The leader's and the follower's part in copying the log."""
+    """The leader's and the follower's side of log replication."""
 
     def is_caught_up(self, replica: ReplicaId) -> bool:
-        """Whether a member has synced all that is committed."""
+        """Returns whether a member has synced all committed entries."""
         progress = self.progress.get(replica)
-        return progress is not None and progress.match >= self.commit
+        return progress is not None and progress.match >= self.commit_index
 
     def flush(self) -> None:
-        """Sends what was proposed; one append carries a whole batch."""
+        """Sends unsent entries to all members, in batches."""
         if self.role is Role.LEADER:
             for replica in self.membership.members:
-                if replica != self.me:
+                if replica != self.replica_id:
                     progress = self.progress[replica]
                     if progress.next <= self.log.last_index:
                         self._send_append(replica)
 
-    def _append_own(self, kind: EntryKind, data: str) -> int | None:
+    def _append_as_leader(self, kind: EntryKind, data: str) -> int | None:
         if self.role is not Role.LEADER:
             return None
         index = self.log.last_index + 1
-        self._write([LogEntry(index, self.term, kind, data)])
+        self._append_to_log([LogEntry(index, self.term, kind, data)])
         return index
 
     def _broadcast(self) -> None:
         for replica in self.membership.members:
-            if replica != self.me:
+            if replica != self.replica_id:
                 self._send_append(replica)
 
     def _send_append(self, replica: ReplicaId) -> None:
@@ -52,31 +52,42 @@
             )
             progress.next = snapshot.index + 1
             return
-        upto = min(self.log.last_index, previous + self.timings.max_batch)
-        entries = self.log.between(previous, upto)
+        last = min(
+            self.log.last_index, previous + self.timings.max_batch_entries
+        )
+        entries = self.log.between(previous, last)
         self._send(
             replica,
-            Append(self.term, previous, term, entries, self.commit, self.round),
+            Append(
+                self.term,
+                previous,
+                term,
+                entries,
+                self.commit_index,
+                self.round,
+            ),
         )
-        # Assume that it arrives; a reply that says otherwise sets it back.
-        progress.next = upto + 1
+        # Pipelining: assume delivery; a rejection resets `next`.
+        progress.next = last + 1
 
-    def _follow(self, leader: ReplicaId) -> None:
+    def _follow_leader(self, leader: ReplicaId) -> None:
         self.role = Role.FOLLOWER
         self.leader = leader
-        self.heard_leader = self.ticks
-        self._reset_deadline()
+        self.leader_contact_tick = self.ticks
+        self._reset_election_timer()
 
     def _on_append(self, sender: ReplicaId, message: Append) -> None:
-        self._follow(sender)
+        self._follow_leader(sender)
         previous = message.prev_index
-        if previous < self.commit:
-            # Below our commit everything agrees already.
-            entries = [e for e in message.entries if e.index > self.commit]
-            previous = min(self.commit, previous + len(message.entries))
+        if previous < self.commit_index:
+            # Entries up to the commit index match already.
+            entries = [
+                e for e in message.entries if e.index > self.commit_index
+            ]
+            previous = min(self.commit_index, previous + len(message.entries))
         elif self.log.term_at(previous) != message.prev_term:
             hint = min(self.log.last_index, previous - 1)
-            hint = max(hint, self.commit)
+            hint = max(hint, self.commit_index)
             self._send(
                 sender, AppendReply(self.term, False, hint, message.round)
             )
@@ -86,7 +97,7 @@
         while entries and self.log.term_at(entries[0].index) == entries[0].term:
             previous = entries.pop(0).index
         if entries:
-            self._write(entries)
+            self._append_to_log(entries)
             previous = entries[-1].index
         self._commit_to(min(message.commit, previous))
         self._send(
@@ -94,24 +105,27 @@
         )
 
     def _on_snapshot(self, sender: ReplicaId, message: InstallSnapshot) -> None:
-        self._follow(sender)
+        self._follow_leader(sender)
         snapshot = message.snapshot
         if self.log.term_at(snapshot.index) == snapshot.term:
-            # We have that entry. Dropping what follows it would take back
-            # entries that we acknowledged and that may be committed.
+            # The log already holds that entry. Discarding later entries
+            # could lose acknowledged, possibly committed ones.
             self._commit_to(snapshot.index)
-        elif snapshot.index > self.commit:
+        elif snapshot.index > self.commit_index:
             self.log = ReplicatedLog(snapshot, [])
-            self.commit = snapshot.index
-            self.applied = snapshot.index
+            self.commit_index = snapshot.index
+            self.applied_index = snapshot.index
             self.synced_index = snapshot.index
-            self.write_from = snapshot.index + 1
-            self.install = snapshot
+            self.first_unwritten = snapshot.index + 1
+            self.pending_snapshot = snapshot
             self.membership = snapshot.membership
         self._send(
             sender,
             AppendReply(
-                self.term, True, max(self.commit, snapshot.index), message.round
+                self.term,
+                True,
+                max(self.commit_index, snapshot.index),
+                message.round,
             ),
         )
 
@@ -119,7 +133,7 @@
         progress = self.progress.get(sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        progress.heard = self.ticks
+        progress.last_reply_tick = self.ticks
         progress.round = max(progress.round, reply.round)
         if reply.success:
             progress.match = max(progress.match, reply.match)
@@ -135,56 +149,67 @@
     def _advance_commit(self) -> None:
         matches = sorted(
             self.synced_index
-            if replica == self.me
+            if replica == self.replica_id
             else self.progress[replica].match
             for replica in self.membership.voters
         )
         index = matches[-self.membership.quorum]
-        # An older term's entry is not safe by count alone: a later leader
-        # may still overwrite it. One of our own term commits it with it.
+        # An entry of an earlier term that is stored on a quorum can still be
+        # overwritten; it is committed only by a later entry of this term.
         if self.log.term_at(index) == self.term:
             self._commit_to(index)
 
     def request_round(self) -> int:
-        """Asks for proof that we still lead; returns the round to await.
+        """Requests confirmation that this replica is still the leader.
 
-        The proof is a quorum's echo of a round that began after the
-        request, so an answer given then can't come from a leader that had
-        been replaced before it was asked.
+        Leadership is confirmed once a quorum has acknowledged a heartbeat
+        round that started after the request; a read served then cannot be
+        stale.
+
+        Returns:
+            The round to wait for in `confirmed_round`.
         """
-        self.wants_round = True
+        self.round_requested = True
         self._start_round_if_idle()
-        return self.round if not self.wants_round else self.round + 1
+        return self.round if not self.round_requested else self.round + 1
 
     @property
     def confirmed_round(self) -> int:
-        """The newest round that a quorum has echoed."""
+        """The latest heartbeat round acknowledged by a quorum."""
         rounds = sorted(
-            self.round if replica == self.me else self.progress[replica].round
+            self.round
+            if replica == self.replica_id
+            else self.progress[replica].round
             for replica in self.membership.voters
-            if replica == self.me or replica in self.progress
+            if replica == self.replica_id or replica in self.progress
         )
         quorum = self.membership.quorum
         return rounds[-quorum] if len(rounds) >= quorum else 0
 
     @property
     def can_serve_reads(self) -> bool:
-        """Whether an entry of our own term is committed.
+        """Whether this leader has committed an entry of its own term.
 
-        Before that a new leader may not know all that its predecessor
-        committed, and would answer with an older state.
+        Before that, a new leader may not know of all committed entries and
+        could serve stale reads.
         """
-        return self.role is Role.LEADER and self.commit >= self.term_start
+        return (
+            self.role is Role.LEADER
+            and self.commit_index >= self.term_start_index
+        )
 
     def _start_round_if_idle(self) -> None:
-        if self.role is Role.LEADER and self.wants_round:
+        if self.role is Role.LEADER and self.round_requested:
             if self.confirmed_round >= self.round:
-                self.wants_round = False
+                self.round_requested = False
                 self.round += 1
                 self._broadcast()
 
-    def synced(self) -> None:
-        """All that the last `take_ready()` gave is on disk."""
+    def mark_synced(self) -> None:
+        """Records that the output of the last `take_ready()` is on disk."""
         self.synced_index = self.log.last_index
-        if self.role is Role.LEADER and self.me in self.membership.voters:
+        if (
+            self.role is Role.LEADER
+            and self.replica_id in self.membership.voters
+        ):
             self._advance_commit()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -77,7 +77,7 @@
 
     def has_valid_lease(self) -> bool:
         """Whether API keys may be accepted."""
-        return self.lease.holds(boot_seconds())
+        return self.lease.is_valid(boot_seconds())
 
     def apply(self, source: str, reply: SyncReply, sent_at: float) -> None:
         """Applies a control host's reply.
@@ -92,7 +92,7 @@
         if reply.confirmed:
             self.broker_addresses = reply.brokers
         if reply.confirmed and self.version >= reply.version:
-            self.lease.renewed(sent_at, self.lease.seconds)
+            self.lease.renew(sent_at, self.lease.seconds)
         now = time.monotonic()
         for registration in reply.words:
             self._merge(registration, now)
--- a/packages/fleet/tests/gateway/test_request_handler.py
+++ b/packages/fleet/tests/gateway/test_request_handler.py
@@ -43,7 +43,7 @@
 def handler():
     view = FleetView(GATEWAY_DIALECTS.get("native"), 60.0)
     view.table = RouteTable(CONFIG)
-    view.lease.renewed(boot_seconds(), 60.0)
+    view.lease.renew(boot_seconds(), 60.0)
     metrics = Metrics("gateway", "g0")
     app = SimpleNamespace(
         metrics=metrics,
@@ -85,5 +85,5 @@
 
 
 def test_nothing_is_refused_early_without_a_lease(handler):
-    handler.view.lease.until = 0.0
+    handler.view.lease.valid_until = 0.0
     assert refuse_early(handler) is None
