--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -1,4 +1,4 @@
-"""Waiting requests of each service, and the agents that may run them."""
+"""Queues the requests of each service and hands them to its agents."""
 
 import asyncio
 import random
@@ -31,26 +31,46 @@
 
 logger = get_logger(__name__)
 
-_OFFER_SECONDS = 1.5
+_OFFER_TIMEOUT_SECONDS = 1.5
 _COALESCE_SECONDS = 0.01
-"""Backlogs that begin together are told together."""
-_DIRECT_TRIES = 2
-_BUSY_TOLD = 2
+"""Backlogs that begin within this time are offered in one message."""
+_MAX_DIRECT_ATTEMPTS = 2
+_MAX_BUSY_AGENTS_OFFERED = 2
 _OUTSIDE_AGENT_ENTRIES = 1000
-_RATE_MEMORY = 0.1
-_PASS_OVER_SECONDS = 2.0
-_MAX_RETRY_AFTER = 60.0
+"""Assumed number of entries of an agent outside the subset."""
+_RATE_WEIGHT = 0.1
+"""Weight of the newest sample in the average dequeue rate."""
+_AGENT_BACKOFF_SECONDS = 2.0
+_MAX_RETRY_AFTER_SECONDS = 60.0
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Where a request may run: a direct try, or a grant."""
+    """The agent to which a request is sent.
+
+    Attributes:
+        address: The agent's address.
+        grant: The grant to use, or "" for a direct attempt.
+    """
 
     address: str
     grant: str = ""
 
 
 class AgentView:
-    """What a dispatcher knows of one agent."""
+    """What a dispatcher knows of one agent.
+
+    Attributes:
+        in_flight: Attempts that this entry has running at the agent.
+        sequence: Number of the last offer that was sent.
+        offered: Workspaces of whose backlog the agent was notified.
+        free: Free slots, as last reported.
+        entries: Number of entries that send offers to the agent.
+        sending: An offer is being sent.
+        pending: Another offer follows the one being sent.
+        needs_full_offer: The next offer lists the complete backlog.
+        last_full_offer_at: Monotonic time, in seconds.
+        backoff_until: Monotonic time, in seconds.
+    """
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
@@ -68,7 +88,13 @@
 
 
 class ServiceDispatcher:
-    """One service at one entry."""
+    """Queues one service's requests and offers them to its agents.
+
+    Attributes:
+        agents: The agents that this entry uses, by incarnation.
+        other_agents: The service's other agents that are ready.
+        dequeue_rate: Granted requests per second, as a moving average.
+    """
 
     def __init__(self, app: Application, service: ServiceId):
         self.app = app
@@ -84,14 +110,19 @@
     # Agents.
 
     def set_agents(
-        self, rows: list[DirectoryRow], outside: list[DirectoryRow]
+        self, rows: list[DirectoryRow], others: list[DirectoryRow]
     ) -> None:
-        """Takes in the agents that this entry uses, and all others."""
-        self.other_agents = [row for row in outside if row.state == "ready"]
-        wanted = {row.incarnation: row for row in rows}
-        for gone in self.agents.keys() - wanted.keys():
-            del self.agents[gone]
-        for incarnation, row in wanted.items():
+        """Replaces the known agents.
+
+        Args:
+            rows: The agents that this entry uses.
+            others: The service's remaining agents.
+        """
+        self.other_agents = [row for row in others if row.state == "ready"]
+        current = {row.incarnation: row for row in rows}
+        for removed in self.agents.keys() - current.keys():
+            del self.agents[removed]
+        for incarnation, row in current.items():
             view = self.agents.get(incarnation)
             if view is None:
                 self.agents[incarnation] = AgentView(row, self.totals)
@@ -101,7 +132,7 @@
             self._schedule_flush()
 
     def ready_agents(self) -> list[AgentView]:
-        """Returns the agents that may take new work."""
+        """Returns the agents that accept new work and are not backing off."""
         now = time.monotonic()
         return [
             view
@@ -110,38 +141,43 @@
         ]
 
     def back_off(self, address: str) -> None:
-        """Leaves an agent alone for a while after it gave no answer."""
+        """Sends an agent nothing for a while after it failed to respond."""
         for view in self.agents.values():
             if view.row.address == address:
-                view.backoff_until = time.monotonic() + _PASS_OVER_SECONDS
+                view.backoff_until = time.monotonic() + _AGENT_BACKOFF_SECONDS
 
     def direct_candidates(self) -> list[Placement]:
-        """Picks agents for a direct run, while nothing waits here.
+        """Picks agents for a direct attempt, if the queue is empty.
 
-        Two random ones, the less busy by our own count first: reports of
-        load lag, and everyone following them would go to the same one.
+        These are random agents, the one with the fewest attempts of this
+        entry first. Reported load is stale; if all entries used it, they
+        would choose the same agent.
         """
         if self.queue.workspaces:
             return []
         free = [v for v in self.ready_agents() if v.in_flight < v.row.slots]
-        picked = random.sample(free, min(_DIRECT_TRIES, len(free)))
+        picked = random.sample(free, min(_MAX_DIRECT_ATTEMPTS, len(free)))
         picked.sort(key=lambda view: view.in_flight / view.row.slots)
         return [Placement(view.row.address) for view in picked]
 
     def count_run(self, address: str, change: int) -> None:
-        """Counts what runs at an agent from here."""
+        """Adds `change` to the count of attempts running at an agent."""
         for view in self.agents.values():
             if view.row.address == address:
                 view.in_flight += change
 
-    # Waiting.
+    # Queue.
 
     async def wait(self, request: CallerRequest, first: bool) -> Placement:
-        """Waits for a grant.
+        """Queues a request until an agent grants it a slot.
+
+        Args:
+            request: The request.
+            first: Whether it goes to the head of its class.
 
         Raises:
-            FleetError: The deadline passed, or too much waits already; the
-                request was not run.
+            FleetError: The deadline passed, or the workspace's queue is
+                full; the request was not run.
         """
         self._check_limits(request)
         item = Waiting(
@@ -161,8 +197,8 @@
             raise FleetError(
                 failure(
                     Kind.DEADLINE,
-                    "the deadline passed while the request waited; it was "
-                    "not run",
+                    "the deadline passed while the request was queued; it "
+                    "was not run",
                     retry_after=self.retry_after(),
                 )
             ) from None
@@ -180,21 +216,29 @@
             raise FleetError(
                 failure(
                     Kind.WORKSPACE_FULL,
-                    "too many requests of this workspace wait; come back "
+                    "too many requests of this workspace are queued; retry "
                     "later or send fewer at once",
                     retry_after=self.retry_after(),
                 )
             )
 
     def retry_after(self) -> float:
-        """Estimates when a new request would get its turn, with jitter."""
+        """Returns the estimated wait of a new request, with jitter.
+
+        It is in seconds, based on the queue's length and the recent rate of
+        grants.
+        """
         waiting = self.queue.count()
         seconds = waiting / self.dequeue_rate if self.dequeue_rate > 0 else 2.0
-        seconds = min(_MAX_RETRY_AFTER, max(1.0, seconds))
+        seconds = min(_MAX_RETRY_AFTER_SECONDS, max(1.0, seconds))
         return seconds * random.uniform(1.0, 1.3)
 
     def on_grant(self, message: GrantMessage) -> GrantReply:
-        """Gives an agent's free slot to the workspace that it names."""
+        """Uses an agent's grant for a queued request of the workspace.
+
+        The reply says whether a request uses the grant, and how many
+        requests of the workspace remain.
+        """
         now = time.monotonic()
         workspace = WorkspaceId(message.workspace)
         item = self.queue.take(workspace, now)
@@ -211,13 +255,13 @@
         return GrantReply(True, queue.count, head.prefix)
 
     def _clear_offered_if_empty(self, workspace: WorkspaceId) -> None:
-        """Has a backlog that begins again told again."""
+        """Lets the workspace's next backlog be offered once this one ended."""
         if workspace not in self.queue.workspaces:
             for view in self.agents.values():
                 view.offered.discard(workspace)
 
     def on_free(self, message: FreeMessage) -> None:
-        """Notes that an agent is busy no more, and tells it what waits."""
+        """Records an agent's free slots and offers it the backlog."""
         view = self.agents.get(message.agent)
         if view is None:
             return
@@ -228,7 +272,7 @@
     def _update_dequeue_rate(self, now: float) -> None:
         gap = max(now - self.last_dequeued_at, 1e-4)
         self.last_dequeued_at = now
-        self.dequeue_rate += _RATE_MEMORY * (1.0 / gap - self.dequeue_rate)
+        self.dequeue_rate += _RATE_WEIGHT * (1.0 / gap - self.dequeue_rate)
 
     # Offers.
 
@@ -239,50 +283,51 @@
             loop.call_later(_COALESCE_SECONDS, self._flush)
 
     def _flush(self) -> None:
-        """Tells agents of backlogs that began.
+        """Offers new backlogs to the free agents and to a few busy ones.
 
-        All that are free are told, and two of the busy ones: enough slots
-        that one of them is free soon. Telling all of them each time made
-        the offers most of the control traffic. The others learn it with
-        the next refresh, and that a backlog ended likewise, or by a grant
-        that comes back.
+        The number of busy agents is limited to bound the control traffic.
+        The others receive the backlog with the next refresh. That a backlog
+        ended is learned from a refresh or from a grant that is not used.
         """
         self.flush_scheduled = False
         self.queue.changed.clear()
         waiting = set(self.queue.workspaces)
-        lacking = [v for v in self.ready_agents() if waiting - v.offered]
-        busy = [view for view in lacking if view.free == 0]
-        picked = random.sample(busy, min(_BUSY_TOLD, len(busy)))
-        for view in lacking:
+        outdated = [v for v in self.ready_agents() if waiting - v.offered]
+        busy = [view for view in outdated if view.free == 0]
+        picked = random.sample(busy, min(_MAX_BUSY_AGENTS_OFFERED, len(busy)))
+        for view in outdated:
             if view.free > 0 or view in picked:
                 self._send_offer(view)
 
     def refresh(self, older_than: float) -> None:
-        """Repeats the whole backlog to agents not told for a while."""
+        """Sends the complete backlog to agents whose last one is too old.
+
+        Args:
+            older_than: Age in seconds at which a full offer is repeated.
+        """
         now = time.monotonic()
         for view in self.ready_agents():
             stale = view.last_full_offer_at + older_than <= now
             if stale and (self.queue.workspaces or view.offered):
-                self._send_offer(view, whole=True)
+                self._send_offer(view, full=True)
         self._offer_outside_subset()
 
     def _offer_outside_subset(self) -> None:
-        """Tells one agent outside our subset, while requests wait.
+        """Offers the backlog to a random agent outside the subset.
 
-        Without it an idle agent whose own entries have nothing would never
-        hear of work elsewhere; with it, it has a grant to give within a few
-        refreshes, whatever the subsets are.
+        Without this an idle agent would receive no offer when only entries
+        that do not use it have queued requests.
         """
         if self.queue.workspaces and self.other_agents:
             row = random.choice(self.other_agents)
             view = AgentView(row, self.totals)
-            # It has its totals from the entries that work with it.
+            # It receives the totals from the entries that use it.
             view.link.peer = row.incarnation
             view.entries = _OUTSIDE_AGENT_ENTRIES
-            self._send_offer(view, whole=True)
+            self._send_offer(view, full=True)
 
-    def _send_offer(self, view: AgentView, whole: bool = False) -> None:
-        view.needs_full_offer = view.needs_full_offer or whole
+    def _send_offer(self, view: AgentView, full: bool = False) -> None:
+        view.needs_full_offer = view.needs_full_offer or full
         view.pending = True
         if not view.sending:
             view.sending = True
@@ -308,16 +353,16 @@
             view.sending = False
 
     async def _send_once(self, view: AgentView) -> None:
-        # A new agent has no memory: it gets everybody's totals first.
-        whole = view.needs_full_offer or not view.link.peer
+        # The first offer to an agent carries the totals, which it lacks.
+        full = view.needs_full_offer or not view.link.peer
         view.needs_full_offer = False
-        rows = self._rows(set() if whole else view.offered)
-        if not rows and not whole:
+        rows = self._rows(set() if full else view.offered)
+        if not rows and not full:
             return
-        told = {row.workspace for row in rows}
-        view.offered = told if whole else view.offered | told
+        sent = {row.workspace for row in rows}
+        view.offered = sent if full else view.offered | sent
         view.sequence += 1
-        if whole:
+        if full:
             view.last_full_offer_at = time.monotonic()
         message = OfferMessage(
             self.app.incarnation,
@@ -326,11 +371,15 @@
             self.service,
             view.sequence,
             rows,
-            self._totals_for(view) if whole else None,
-            whole=whole,
+            self._totals_for(view) if full else None,
+            whole=full,
         )
         reply = await self.app.client.call(
-            view.row.address, OFFER_PATH, message, OfferReply, _OFFER_SECONDS
+            view.row.address,
+            OFFER_PATH,
+            message,
+            OfferReply,
+            _OFFER_TIMEOUT_SECONDS,
         )
         if isinstance(reply, Err):
             self.app.metrics.count("offers_failed")
@@ -340,12 +389,12 @@
         self._on_reply(view, reply.ok_value)
 
     def _totals_for(self, view: AgentView) -> TotalsDelta:
-        """Returns the totals that go with a whole backlog.
+        """Returns the totals to send with a complete backlog.
 
-        Every entry knows the same rows within a refresh. If all of them
-        sent these to an agent, each row would come once from each; so the
-        entries take turns by chance. What we hold always goes along, so
-        that the agent's own rows come back each time.
+        All entries hold nearly the same rows, so each sends them with a
+        probability of one over the number of entries. The versions that
+        this entry holds are always sent; the agent replies with the rows
+        that are newer.
         """
         is_new = not view.link.peer
         if is_new or random.random() * view.entries < 1.0:
@@ -362,21 +411,21 @@
 
 
 class Dispatchers:
-    """All services' dispatchers of one entry."""
+    """The dispatchers of one entry, by service."""
 
     def __init__(self, app: Application):
         self.app = app
         self.dispatchers: dict[ServiceId, ServiceDispatcher] = {}
-        app.metrics.gauge("waiting_requests", self._waiting)
-        app.metrics.gauge("known_agents", self._known)
+        app.metrics.gauge("waiting_requests", self._waiting_requests)
+        app.metrics.gauge("known_agents", self._known_agents)
 
-    def _waiting(self) -> list[tuple[float, dict[str, str]]]:
+    def _waiting_requests(self) -> list[tuple[float, dict[str, str]]]:
         return [
             (dispatcher.queue.count(), {"service": name})
             for name, dispatcher in self.dispatchers.items()
         ]
 
-    def _known(self) -> list[tuple[float, dict[str, str]]]:
+    def _known_agents(self) -> list[tuple[float, dict[str, str]]]:
         return [
             (
                 1.0,
@@ -391,38 +440,39 @@
         ]
 
     def get(self, service: ServiceId) -> ServiceDispatcher:
-        """Returns a service's dispatcher."""
+        """Returns a service's dispatcher, which is created if needed."""
         if service not in self.dispatchers:
             self.dispatchers[service] = ServiceDispatcher(self.app, service)
         return self.dispatchers[service]
 
     def set_agents(self, rows: list[DirectoryRow]) -> None:
-        """Sorts the directory's agents by service."""
+        """Distributes the directory's agents to the services' dispatchers."""
         by_service: dict[ServiceId, list[DirectoryRow]] = {
             name: [] for name in self.dispatchers
         }
         for row in rows:
             by_service.setdefault(ServiceId(row.service), []).append(row)
-        for service, found in by_service.items():
+        for service, service_rows in by_service.items():
             if service:
-                used = self._subset(found)
-                others = [row for row in found if row not in used]
+                used = self._subset(service_rows)
+                others = [row for row in service_rows if row not in used]
                 self.get(service).set_agents(used, others)
 
     def _subset(self, rows: list[DirectoryRow]) -> list[DirectoryRow]:
-        """Picks the agents that this entry works with.
+        """Picks the agents that this entry uses.
 
-        All entries with all agents does not scale. Rendezvous hashing
-        spreads the entries evenly over the agents and moves few of the
-        pairs when one comes or goes; our own zone's agents come first.
+        The subset bounds the number of connections. Rendezvous hashing
+        spreads the entries evenly over the agents and changes few of the
+        pairs when an agent joins or leaves. Half of the subset comes from
+        the entry's own availability zone if it has enough agents.
         """
         limit = self.app.settings.agents_per_service
         if not limit or len(rows) <= limit:
             return rows
-        me, zone = self.app.settings.name, self.app.settings.zone
+        name, zone = self.app.settings.name, self.app.settings.zone
 
         def rank(row: DirectoryRow) -> float:
-            return random.Random(f"{me} {row.incarnation}").random()
+            return random.Random(f"{name} {row.incarnation}").random()
 
         near = sorted((r for r in rows if r.zone == zone), key=rank)
         near = near[: limit // 2]
@@ -430,7 +480,7 @@
         return near + rest[: limit - len(near)]
 
     async def refresh_forever(self) -> None:
-        """Keeps agents told while requests wait, until cancelled."""
+        """Repeats offers to agents until cancelled."""
         period = self.app.settings.offer_seconds
         while True:
             await asyncio.sleep(period / 4)
--- a/packages/fleet/tests/entry/test_dispatchers.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -1,4 +1,4 @@
-"""Which agents an entry uses, and what it tells them."""
+"""Tests of the agents that an entry uses and of the offers to them."""
 
 from types import SimpleNamespace
 
@@ -42,58 +42,58 @@
     return set(dispatchers.get("chat").agents)
 
 
-def test_a_subset_is_stable_near_and_spread():
-    """Entries must not all pick the same agents, nor new ones each time."""
+def test_a_subset_is_stable_prefers_the_zone_and_covers_all_agents():
+    """Entries must not all pick the same agents, or others each time."""
     assert used_by("entry-1") == used_by("entry-1")
-    near = {r.incarnation for r in ROWS if r.zone == "zone-a"}
-    assert len(used_by("entry-1") & near) >= 4
-    everybody = set().union(*(used_by(f"entry-{n}") for n in range(40)))
-    assert len(everybody) == len(ROWS)
+    same_zone = {r.incarnation for r in ROWS if r.zone == "zone-a"}
+    assert len(used_by("entry-1") & same_zone) >= 4
+    used_by_any = set().union(*(used_by(f"entry-{n}") for n in range(40)))
+    assert len(used_by_any) == len(ROWS)
 
 
-def test_a_lost_agent_moves_few_pairs():
+def test_a_removed_agent_is_replaced_by_one_other():
     before = used_by("entry-1")
-    gone = next(iter(before))
-    after = used_by("entry-1", [r for r in ROWS if r.incarnation != gone])
+    removed = next(iter(before))
+    after = used_by("entry-1", [r for r in ROWS if r.incarnation != removed])
     assert len(after - before) == 1
 
 
-def test_an_idle_agent_outside_every_subset_hears_of_waiting_work():
-    """Its own entries have nothing; another entry has a backlog."""
+def test_an_idle_agent_outside_the_subset_receives_offers():
+    """The entries that use it have no backlog; another entry has one."""
     dispatchers = make_dispatchers(limit=2)
     dispatchers.set_agents(ROWS)
     dispatcher = dispatchers.get("chat")
-    told = set()
-    dispatcher._send_offer = lambda view, whole=False: told.add(
+    offered = set()
+    dispatcher._send_offer = lambda view, full=False: offered.add(
         view.row.incarnation
     )
     dispatcher.refresh(0.0)
-    assert told == set()
+    assert offered == set()
     item = Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     dispatcher.queue.add(item)
     for _ in range(500):
         dispatcher.refresh(1e9)
-    assert told == {r.incarnation for r in ROWS} - set(dispatcher.agents)
+    assert offered == {r.incarnation for r in ROWS} - set(dispatcher.agents)
 
 
 def test_new_backlogs_go_to_free_agents_and_two_busy_ones():
-    """Telling every busy agent each time was most of the traffic."""
+    """Offers to all busy agents would cause too much control traffic."""
     dispatchers = make_dispatchers()
     dispatchers.set_agents(ROWS[:10])
     dispatcher = dispatchers.get("chat")
     for number, view in enumerate(dispatcher.agents.values()):
         view.free = 1 if number < 3 else 0
-    told = []
-    dispatcher._send_offer = lambda view, whole=False: told.append(view.free)
+    offered = []
+    dispatcher._send_offer = lambda view, full=False: offered.append(view.free)
     dispatcher.queue.add(
         Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     )
     dispatcher._flush()
-    assert sorted(told) == [0, 0, 1, 1, 1]
+    assert sorted(offered) == [0, 0, 1, 1, 1]
 
 
-def test_entries_take_turns_with_rows_and_a_new_agent_gets_them_first():
-    """A restarted agent must know everybody's standing at once."""
+def test_totals_are_sent_at_random_but_always_to_a_new_agent():
+    """A restarted agent needs all workspaces' totals before it chooses."""
     dispatchers = make_dispatchers()
     dispatchers.set_agents(ROWS[:1])
     dispatcher = dispatchers.get("chat")
@@ -107,8 +107,8 @@
     assert 100 < sum(sent) < 300
 
 
-def test_a_backlog_that_begins_again_is_told_again():
-    """It ended and began between two refreshes; agents think it is over."""
+def test_a_backlog_that_starts_again_is_offered_again():
+    """It ended and started between two refreshes."""
     dispatchers = make_dispatchers()
     dispatchers.set_agents(ROWS[:1])
     dispatcher = dispatchers.get("chat")
@@ -118,7 +118,7 @@
     assert view.offered == set()
 
 
-def test_an_agent_that_gave_no_answer_is_passed_over():
+def test_an_unresponsive_agent_is_in_backoff():
     dispatchers = make_dispatchers()
     dispatchers.set_agents(ROWS[:2])
     dispatcher = dispatchers.get("chat")
@@ -142,8 +142,10 @@
 @pytest.mark.parametrize(
     "request_", [caller_request(limit=1), caller_request(9, max_bytes=1)]
 )
-async def test_past_a_workspaces_limits_the_answer_is_final_at_once(request_):
-    """A workspace floods an entry; its next request must not be held."""
+async def test_a_request_over_the_workspaces_limits_is_refused_at_once(
+    request_,
+):
+    """The queue of a workspace with excess load must not grow on."""
     dispatchers = make_dispatchers()
     dispatcher = dispatchers.get("chat")
     dispatcher.queue.add(
@@ -157,7 +159,7 @@
     assert reason.retry_after >= 1.0
 
 
-async def test_a_request_given_up_in_the_queue_is_not_run_and_says_when():
+async def test_a_request_that_times_out_in_the_queue_is_not_run():
     dispatchers = make_dispatchers()
     dispatcher = dispatchers.get("chat")
     with pytest.raises(FleetError) as refused:
