--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -1,4 +1,4 @@
-"""Checks of what callers send, before anything is queued or sent."""
+"""Admission of callers' requests: authentication, routing and limits."""
 
 import hashlib
 import math
@@ -28,7 +28,7 @@
 
 DEADLINE_HEADER = "X-Request-Deadline-Seconds"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
-MAX_IDEMPOTENCY_KEY = 200
+MAX_KEY_CHARS = 200
 CHAT_PATHS = ("/v1/chat/completions", "/v1/completions")
 SERVICE_PREFIX = "/services/"
 _SINGLE_HEADERS = (
@@ -41,14 +41,14 @@
 
 
 class ChatBody(msgspec.Struct):
-    """What the router reads of a chat request."""
+    """The fields of a chat request that decide its route."""
 
     model: str = ""
     stream: bool = False
 
 
 class Admission:
-    """Turns an HTTP request into a checked one, or raises why not."""
+    """Checks HTTP requests and resolves their service and workspace."""
 
     def __init__(self, membership: Membership, max_header_bytes: int):
         self.membership = membership
@@ -60,19 +60,19 @@
         return self.membership.bundle
 
     async def admit(self, request: web.Request) -> CallerRequest:
-        """Checks a request.
+        """Returns the admitted request.
 
         Raises:
-            FleetError: It is refused; the kind says why.
+            FleetError: The request is refused; the kind gives the reason.
         """
         refusal = self.membership.refusal()
         if refusal is not None:
             raise FleetError(_refusal_for_call(request, refusal))
         _check_headers(request, self.max_header_bytes)
-        workspace_id = self._workspace(request)
+        workspace_id = self._authenticate(request)
         body = await self._read_body(request)
         service_id, path = self._route(request, body)
-        workspace = self._allowed(workspace_id, service_id)
+        workspace = self._authorize(workspace_id, service_id)
         service = self.bundle.services[service_id]
         if len(body) > service.max_body_bytes:
             raise_failure(
@@ -97,7 +97,7 @@
             admitted.call = _ticket(request, admitted)
         return admitted
 
-    def _allowed(
+    def _authorize(
         self, workspace_id: WorkspaceId, service_id: ServiceId
     ) -> Workspace:
         workspace = self.bundle.workspaces.get(workspace_id)
@@ -112,7 +112,7 @@
             )
         return workspace
 
-    def _workspace(self, request: web.Request) -> WorkspaceId:
+    def _authenticate(self, request: web.Request) -> WorkspaceId:
         key = request.headers.get("X-API-Key", "")
         scheme, _, token = request.headers.get("Authorization", "").partition(
             " "
@@ -134,10 +134,10 @@
         return WorkspaceId(workspace)
 
     async def _read_body(self, request: web.Request) -> bytes:
-        """Reads the body up to what the most generous service takes.
+        """Reads the body, up to the largest limit of all services.
 
-        Which service it is may stand in the body. Reading without a limit
-        would let one workspace fill the entry's memory.
+        The service may be named in the body, so its own limit is not known
+        yet.
         """
         services = self.bundle.services.values()
         limit = max((s.max_body_bytes for s in services), default=0)
@@ -149,12 +149,12 @@
                     if len(body) > limit:
                         break
         except (aiohttp.ClientPayloadError, ValueError) as error:
-            raise_failure(Kind.BAD_REQUEST, f"the body is cut: {error}")
+            raise_failure(Kind.BAD_REQUEST, f"the body is truncated: {error}")
         if max(len(body), request.content_length or 0) > limit:
             raise_failure(
                 Kind.TOO_LARGE,
                 f"the body is over {limit} bytes, more than any service "
-                "takes; send less",
+                "accepts; send less",
             )
         return bytes(body)
 
@@ -198,9 +198,9 @@
 
 
 def _check_headers(request: web.Request, limit: int) -> None:
-    """Refuses headers that are too long or given twice.
+    """Refuses headers that are too long or repeated.
 
-    Two parties could read a header that came twice in two ways.
+    Different parsers could use different values of a repeated header.
     """
     for name, value in request.headers.items():
         if len(name) + len(value) > limit:
@@ -210,15 +210,15 @@
     for name in _SINGLE_HEADERS:
         if len(request.headers.getall(name, ())) > 1:
             raise_failure(
-                Kind.BAD_REQUEST, f"header {name} came twice; send it once"
+                Kind.BAD_REQUEST, f"header {name} is repeated; send it once"
             )
 
 
 def _refusal_for_call(request: web.Request, refusal: Failure) -> Failure:
-    """Returns what a refusal without a lease says of a keyed call.
+    """Returns the refusal for a request that arrives without a lease.
 
-    An earlier try under the key may have run through another entry, and only
-    the ledger knows. "Not run" would have the caller place it anew.
+    The outcome of a request with an idempotency key is unknown: an earlier
+    request with the key may have run through another entry.
     """
     if not request.headers.get(IDEMPOTENCY_HEADER, "").strip():
         return refusal
@@ -250,10 +250,10 @@
             "this call runs at most once, so it needs an Idempotency-Key "
             "header: a new value for a new call, the same for a resend",
         )
-    if len(key) > MAX_IDEMPOTENCY_KEY:
+    if len(key) > MAX_KEY_CHARS:
         raise_failure(
             Kind.BAD_REQUEST,
-            f"{IDEMPOTENCY_HEADER} is over {MAX_IDEMPOTENCY_KEY} characters",
+            f"{IDEMPOTENCY_HEADER} is over {MAX_KEY_CHARS} characters",
         )
     full_key = Ledger.key(admitted.workspace_id, key)
     return CallTicket(full_key, admitted.body_digest, 0)
--- a/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -1,4 +1,4 @@
-"""An attempt seen from the entry: its link to the agent, with resume."""
+"""The entry's client of one attempt at an agent, with resume."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,17 +24,17 @@
 )
 from marjoramyard.kernel.metrics import Metrics
 
-SILENCE_SECONDS = 4.0
-"""An agent says at least once a second that it lives."""
-ADMIT_SECONDS = 4.0
-ADMIT_CALL_SECONDS = 9.0
-"""A call waits for the ledger, a suspect for leave, before its answer."""
-RESUME_TRIES = 3
-_RESUME_SECONDS = 1.5
-_RESUME_PAUSE = 0.3
-_CANCEL_SECONDS = 0.5
-
-_LINK_ERRORS = (
+READ_TIMEOUT_SECONDS = 4.0
+"""Longer than the agent's keepalive interval."""
+ADMIT_TIMEOUT_SECONDS = 4.0
+SLOW_ADMIT_TIMEOUT_SECONDS = 9.0
+"""For calls and suspects, which are admitted by the control hosts too."""
+MAX_RESUME_ATTEMPTS = 3
+_RESUME_TIMEOUT_SECONDS = 1.5
+_RESUME_DELAY_SECONDS = 0.3
+_CANCEL_TIMEOUT_SECONDS = 0.5
+
+_CONNECTION_ERRORS = (
     aiohttp.ClientError,
     TimeoutError,
     OSError,
@@ -51,7 +51,7 @@
 
 
 class AttemptLostError(Exception):
-    """The attempt may have run, and its answer can't be had."""
+    """The attempt may have run, but its response can't be read."""
 
     def __init__(self, reason: Failure):
         super().__init__(reason.message)
@@ -59,11 +59,15 @@
 
 
 class AttemptClient:
-    """Reads one attempt's frames from its agent.
+    """Starts one attempt at an agent and reads its frames.
 
-    The link is this attempt's own: an answer can only reach the request
-    whose attempt asked for it, so a late answer of an earlier attempt has
-    nowhere to go.
+    Each attempt has a client of its own, so a late response of an earlier
+    attempt can't be delivered to the request.
+
+    Attributes:
+        reader: Checks the order of the frames.
+        admitted: The agent accepted the attempt.
+        may_have_arrived: The agent may have received the attempt.
     """
 
     def __init__(
@@ -84,11 +88,12 @@
         self.may_have_arrived = False
 
     async def frames(self) -> AsyncIterator[Frame]:
-        """Yields each frame once, in order, to the last one.
+        """Yields each frame once and in order, up to the last one.
 
         Raises:
-            AttemptRefusedError: Nothing was run.
-            AttemptLostError: The link broke and could not be resumed.
+            AttemptRefusedError: The agent refused the attempt.
+            AttemptLostError: The connection was lost and could not be
+                resumed.
         """
         response = await self._open()
         tries = 0
@@ -99,26 +104,25 @@
                     yield frame
                     if frame.head.is_last:
                         return
-            except _LINK_ERRORS as error:
-                last = error
+            except _CONNECTION_ERRORS as error:
+                last_error = error
             finally:
                 if not response.content.at_eof():
                     response.close()
             response = None
             while response is None:
                 tries += 1
-                if tries > RESUME_TRIES:
-                    raise AttemptLostError(_lost(repr(last)))
+                if tries > MAX_RESUME_ATTEMPTS:
+                    raise AttemptLostError(_lost(repr(last_error)))
                 response = await self._resume()
 
     async def _open(self) -> aiohttp.ClientResponse:
         slow = self.run.call is not None or self.run.suspect
-        limit = ADMIT_CALL_SECONDS if slow else ADMIT_SECONDS
-        # The answer to the caller is due at its deadline, not after it.
-        limit = min(limit, self.run.deadline_seconds)
+        timeout = SLOW_ADMIT_TIMEOUT_SECONDS if slow else ADMIT_TIMEOUT_SECONDS
+        timeout = min(timeout, self.run.deadline_seconds)
         self.may_have_arrived = True
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout):
                 response = await self.client.session.post(
                     f"http://{self.address}{RUN_PATH}",
                     headers={
@@ -131,9 +135,9 @@
         except aiohttp.ClientConnectorError:
             self.may_have_arrived = False
             raise AttemptRefusedError(
-                failure(Kind.NO_ENDPOINT, "the agent takes no connection")
+                failure(Kind.NO_ENDPOINT, "connection to the agent failed")
             ) from None
-        except _LINK_ERRORS as error:
+        except _CONNECTION_ERRORS as error:
             raise AttemptLostError(_lost(repr(error))) from error
         if response.status != 200:
             self.may_have_arrived = False
@@ -142,10 +146,14 @@
         return response
 
     async def _resume(self) -> aiohttp.ClientResponse | None:
-        """Asks for the frames that are missing; None if no answer came."""
+        """Requests the missing frames; returns None if that failed.
+
+        Raises:
+            AttemptLostError: The agent no longer has the frames.
+        """
         self.metrics.count("link_resumes")
         try:
-            async with asyncio.timeout(_RESUME_SECONDS):
+            async with asyncio.timeout(_RESUME_TIMEOUT_SECONDS):
                 response = await self.client.session.get(
                     f"http://{self.address}{RUN_PATH}/{self.run.attempt}",
                     params={"from": str(self.reader.next_number)},
@@ -153,8 +161,8 @@
                 if response.status == 200:
                     return response
                 data = await response.read()
-        except _LINK_ERRORS:
-            await asyncio.sleep(_RESUME_PAUSE)
+        except _CONNECTION_ERRORS:
+            await asyncio.sleep(_RESUME_DELAY_SECONDS)
             return None
         raise AttemptLostError(_refusal(data))
 
@@ -163,10 +171,12 @@
     ) -> AsyncIterator[Frame]:
         parser = FrameParser()
         while True:
-            async with asyncio.timeout(SILENCE_SECONDS):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 data = await response.content.readany()
             if not data:
-                raise aiohttp.ClientPayloadError("the link ended early")
+                raise aiohttp.ClientPayloadError(
+                    "the agent closed the connection before the last frame"
+                )
             for frame in parser.feed(data):
                 if frame.head.is_keepalive:
                     continue
@@ -174,7 +184,7 @@
                     yield frame
 
     async def cancel(self) -> bool:
-        """Cancels the attempt; returns whether it surely was not run."""
+        """Cancels the attempt; returns whether it is certain not to run."""
         if not self.may_have_arrived:
             return True
         reply = await self.client.call(
@@ -182,7 +192,7 @@
             f"{RUN_PATH}/{self.run.attempt}/cancel",
             None,
             CancelReply,
-            _CANCEL_SECONDS,
+            _CANCEL_TIMEOUT_SECONDS,
         )
         return not isinstance(reply, Err) and not reply.ok_value.started
 
@@ -191,12 +201,12 @@
     try:
         return msgspec.json.decode(data, type=FailureBody).error
     except msgspec.DecodeError:
-        return failure(Kind.INTERNAL, "the agent's refusal can't be read")
+        return failure(Kind.INTERNAL, "the agent's refusal can't be decoded")
 
 
 def _lost(detail: str) -> Failure:
     return failure(
         Kind.ENDPOINT_LOST,
-        f"the endpoint's agent was lost while the request ran ({detail})",
+        f"connection to the agent lost while the request ran ({detail})",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -1,4 +1,4 @@
-"""Calls that must not repeat, seen from the entry."""
+"""The entry's access to the ledger of calls that must not repeat."""
 
 import base64
 
@@ -26,31 +26,34 @@
 )
 from marjoramyard.kernel.ids import AttemptId
 
-_LOOK_UP_SECONDS = 4.0
-_CANCEL_SECONDS = 2.0
-_RETRY_SECONDS = 2.0
+_LOOK_UP_TIMEOUT_SECONDS = 4.0
+_CANCEL_TIMEOUT_SECONDS = 2.0
+_RETRY_AFTER_SECONDS = 2.0
 REPLAY_HEADER = "X-Marjoramyard-Replayed"
 
 
 class CallLedgerClient:
-    """Asks the ledger before a call is placed, and when it is given up."""
+    """Looks up calls before they are placed and cancels failed attempts."""
 
     def __init__(self, control: ControlClient):
         self.control = control
 
     async def look_up(self, request: CallerRequest) -> web.Response | None:
-        """Returns the stored answer of a resend; None for a call to place.
+        """Returns the stored response of a resent call.
+
+        Returns None, and sets the ticket's epoch, if the call is to be
+        placed.
 
         Raises:
-            FleetError: The call is running, or its outcome is not known.
-                Where the ledger can't be asked this try was not sent, but
-                an earlier one under the key may have run.
+            FleetError: The call is running, or its outcome is unknown. The
+                latter includes an unreachable ledger, as an earlier request
+                with the same key may have run.
         """
         ticket = request.call
         reply = await self.control.look_up(
             ticket.key,
             ticket.body_digest,
-            min(_LOOK_UP_SECONDS, request.seconds_left()),
+            min(_LOOK_UP_TIMEOUT_SECONDS, request.seconds_left()),
         )
         if isinstance(reply, Err):
             raise FleetError(
@@ -71,15 +74,16 @@
     async def cancel_unstarted(
         self, request: CallerRequest, attempt: AttemptId
     ) -> Outcome:
-        """Rules an attempt out if it has not started; returns the verdict.
+        """Cancels an attempt that has not started; returns its outcome.
 
-        On "not run" the ticket is good for another attempt.
+        If the outcome is "not run" the ticket can be used for another
+        attempt.
         """
         ticket = request.call
         command = CancelCall(
             ticket.key, ticket.body_digest, attempt, ticket.epoch
         )
-        reply = await self.control.command(command, _CANCEL_SECONDS)
+        reply = await self.control.command(command, _CANCEL_TIMEOUT_SECONDS)
         if isinstance(reply, Err):
             return Outcome.UNKNOWN
         view: LedgerView = reply.ok_value.call
@@ -92,11 +96,11 @@
 def _raise_in_progress() -> None:
     raise_failure(
         Kind.IN_PROGRESS,
-        "this call was started before and has no stored answer yet; it is "
-        "not started again. Ask with the same Idempotency-Key later; if "
-        "this stays, look at the service itself",
+        "this call was started before and has no stored response yet; it is "
+        "not started again. Retry with the same Idempotency-Key later; if "
+        "this persists, check the service itself",
         Outcome.UNKNOWN,
-        _RETRY_SECONDS,
+        _RETRY_AFTER_SECONDS,
     )
 
 
@@ -105,8 +109,8 @@
         raise FleetError(
             failure(
                 Kind.CALL_UNKNOWN,
-                "this call ran and ended, but its answer was too large to be "
-                "stored; look at the service itself",
+                "this call was completed, but its response was too large to "
+                "be stored; check the service itself",
                 Outcome.COMPLETE,
             )
         )
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves one request: places it, delivers the answer, retries or ends."""
+"""Handles one request: places it, delivers the response, retries it."""
 
 import asyncio
 import random
@@ -40,17 +40,17 @@
 )
 from marjoramyard.kernel.ids import AttemptId, new_attempt
 
-_PASSING_REFUSALS = frozenset(
+_AGENT_REFUSALS = frozenset(
     {Kind.BUSY, Kind.LEAVING, Kind.NO_ENDPOINT, Kind.NO_LEASE, Kind.NOT_FOUND}
 )
-"""Refusals of one agent that say nothing of the next."""
+"""Refusals that concern one agent only; another may accept the request."""
 _RETRYABLE = frozenset(
     {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.ANSWER_CUT}
 )
 
 
 class RetryBudgets:
-    """Retry budgets of each workspace and each service."""
+    """The retry budgets of each workspace and each service."""
 
     def __init__(self, membership: Membership):
         self.membership = membership
@@ -74,12 +74,12 @@
         return budget
 
     def on_request(self, request: CallerRequest) -> None:
-        """Earns both budgets a part of a retry."""
+        """Credits both budgets with the configured part of a retry."""
         for budget in self._of(request):
             budget.on_request()
 
     def spend(self, request: CallerRequest) -> bool:
-        """Takes a retry if both budgets have one."""
+        """Takes one retry from both budgets; returns False if one is empty."""
         budgets = self._of(request)
         if any(budget.tokens < 1.0 for budget in budgets):
             return False
@@ -89,7 +89,7 @@
 
 
 class RequestHandler:
-    """What the entry does with an admitted request."""
+    """Handles the requests that an entry admitted."""
 
     def __init__(
         self,
@@ -102,23 +102,23 @@
         self.membership = membership
         self.control = control
         self.dispatchers = dispatchers
-        self.calls = CallLedgerClient(control)
-        self.budgets = RetryBudgets(membership)
+        self.call_ledger = CallLedgerClient(control)
+        self.retry_budgets = RetryBudgets(membership)
 
     async def serve(self, request: CallerRequest) -> web.StreamResponse:
-        """Returns the caller's answer.
+        """Returns the response to the caller.
 
         Raises:
-            FleetError: The request ended without one.
+            FleetError: The request ended without a response.
         """
-        left = self.membership.is_convicted(request.fingerprint)
-        if left is not None:
-            raise FleetError(quarantined(left))
+        seconds = self.membership.is_convicted(request.fingerprint)
+        if seconds is not None:
+            raise FleetError(quarantined(seconds))
         if request.call is not None:
-            replay = await self.calls.look_up(request)
+            replay = await self.call_ledger.look_up(request)
             if replay is not None:
                 return replay
-        self.budgets.on_request(request)
+        self.retry_budgets.on_request(request)
         dispatcher = self.dispatchers.get(request.service_id)
         response = await self._try_directly(request, dispatcher)
         first = False
@@ -145,9 +145,9 @@
         dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> web.StreamResponse | None:
-        """Makes one attempt; None means that another may be made."""
+        """Makes one attempt; returns None if another one may be made."""
         self._check_may_run(request, dispatcher)
-        link = AttemptClient(
+        client = AttemptClient(
             self.app.client,
             self.app.metrics,
             placement.address,
@@ -159,7 +159,7 @@
         )
         dispatcher.count_run(placement.address, 1)
         try:
-            async with aclosing(link.frames()) as frames:
+            async with aclosing(client.frames()) as frames:
                 response = await delivery.run(frames)
             self.app.metrics.count("attempts", outcome="complete")
             return response
@@ -171,17 +171,17 @@
             return None
         except (AttemptLostError, ResponseFailedError) as error:
             self.app.metrics.count("attempts", outcome=error.failure.code)
-            self._note_loss(request, error, dispatcher, placement)
+            self._record_loss(request, error, dispatcher, placement)
             return await self._on_failure(
-                request, link, delivery, error.failure
+                request, client, delivery, error.failure
             )
         except CallerStalledError:
-            self.app.tasks.spawn(link.cancel())
-            await delivery.cut(_stalled())
+            self.app.tasks.spawn(client.cancel())
+            await delivery.abort(_stalled())
             return delivery.response
         except BaseException:
-            # The caller went away, or the entry is being stopped.
-            self.app.tasks.spawn(link.cancel())
+            # The caller disconnected, or the entry is being stopped.
+            self.app.tasks.spawn(client.cancel())
             raise
         finally:
             dispatcher.count_run(placement.address, -1)
@@ -189,26 +189,30 @@
     def _check_may_run(
         self, request: CallerRequest, dispatcher: ServiceDispatcher
     ) -> None:
-        """Checks again what may have changed while the request waited."""
+        """Checks the lease and the deadline again, after the wait.
+
+        Raises:
+            FleetError: The lease was lost or the deadline passed.
+        """
         refusal = self.membership.refusal()
         if refusal is not None:
             raise FleetError(refusal)
         if request.seconds_left() <= 0:
-            raise FleetError(_too_late(dispatcher.retry_after()))
+            raise FleetError(_deadline_passed(dispatcher.retry_after()))
 
     @staticmethod
-    def _note_loss(
+    def _record_loss(
         request: CallerRequest,
         error: AttemptLostError | ResponseFailedError,
         dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
-        """Leaves a lost agent alone; marks what ran when an endpoint died.
+        """Backs off from a lost agent; marks the request of a lost endpoint.
 
-        Only an agent can see its endpoint die. A link or an agent that is
-        lost says nothing of the request: counting it would convict the
-        innocent of every network cut. Nor does an endpoint that took no
-        connection: the request never reached it.
+        A request becomes a suspect only if its agent reports that the
+        endpoint was lost after the request was sent. A lost connection or
+        agent, or an endpoint that refused the connection, says nothing
+        about the request.
         """
         reason = error.failure
         if isinstance(error, AttemptLostError):
@@ -238,7 +242,7 @@
             request.call,
         )
 
-    # Ends other than a whole answer.
+    # Outcomes other than a complete response.
 
     async def _on_refusal(
         self,
@@ -247,15 +251,19 @@
         dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
-        """Lets the request go on to another agent, or ends it."""
+        """Lets the request go on to another agent.
+
+        Raises:
+            FleetError: The refusal applies to all agents.
+        """
         if reason.kind is Kind.HELD_APART:
-            # It steps aside for a moment. Queued, it would be granted slot
-            # after slot that it can't use, while others wait for them.
+            # In the queue it would be granted slots that it can't use
+            # while another suspect runs.
             request.suspect = True
-            pause = min(reason.retry_after or 1.0, request.seconds_left())
-            await asyncio.sleep(max(0.0, pause))
+            delay = min(reason.retry_after or 1.0, request.seconds_left())
+            await asyncio.sleep(max(0.0, delay))
             return
-        if reason.kind not in _PASSING_REFUSALS:
+        if reason.kind not in _AGENT_REFUSALS:
             raise FleetError(
                 msgspec.structs.replace(reason, outcome=Outcome.NOT_RUN.value)
             )
@@ -265,28 +273,36 @@
     async def _on_failure(
         self,
         request: CallerRequest,
-        link: AttemptClient,
+        client: AttemptClient,
         delivery: ResponseDelivery,
         reason: Failure,
     ) -> web.StreamResponse | None:
-        """Decides on a lost or failed attempt: another one, or the end."""
+        """Decides after a lost or failed attempt.
+
+        Returns:
+            The aborted response if a part of it was delivered; None if
+            another attempt may be made.
+
+        Raises:
+            FleetError: The request ends with this failure.
+        """
         if request.delivered:
-            self.app.tasks.spawn(link.cancel())
-            await delivery.cut(reason)
+            self.app.tasks.spawn(client.cancel())
+            await delivery.abort(reason)
             return delivery.response
         if request.call is not None:
-            return await self._on_failed_call(request, link, reason)
+            return await self._on_failed_call(request, client, reason)
         never_ran = reason.outcome == Outcome.NOT_RUN.value
         if not never_ran:
-            never_ran = await link.cancel()
+            never_ran = await client.cancel()
         can_repeat = reason.kind in _RETRYABLE and (
             request.repeatable or never_ran
         )
         if can_repeat and request.seconds_left() > 0:
-            if self.budgets.spend(request):
+            if self.retry_budgets.spend(request):
                 self.app.metrics.count("retries", kind=reason.code)
                 return None
-            reason = _budget_spent(reason)
+            reason = _retry_budget_spent(reason)
         outcome = Outcome.NOT_RUN if never_ran else Outcome.UNKNOWN
         raise FleetError(
             msgspec.structs.replace(
@@ -297,17 +313,23 @@
         )
 
     async def _on_failed_call(
-        self, request: CallerRequest, link: AttemptClient, reason: Failure
+        self, request: CallerRequest, client: AttemptClient, reason: Failure
     ) -> None:
-        """Ends a call with what the ledger proves."""
-        if reason.outcome == Outcome.NOT_RUN.value and link.admitted:
-            # Committed as started, but the endpoint took no connection, so
-            # the agent never sent it. The ledger can't be set back.
+        """Decides after a failed attempt of a call that must not repeat.
+
+        Returns None if another attempt may be made.
+
+        Raises:
+            FleetError: The call ends, with the outcome that the ledger has.
+        """
+        if reason.outcome == Outcome.NOT_RUN.value and client.admitted:
+            # The ledger has the call as started, which is final, but the
+            # endpoint refused the connection, so it was not run.
             raise FleetError(reason)
-        attempt = AttemptId(link.run.attempt)
-        outcome = await self.calls.cancel_unstarted(request, attempt)
+        attempt = AttemptId(client.run.attempt)
+        outcome = await self.call_ledger.cancel_unstarted(request, attempt)
         if outcome is Outcome.NOT_RUN and request.seconds_left() > 0:
-            if self.budgets.spend(request):
+            if self.retry_budgets.spend(request):
                 return None
         raise FleetError(
             msgspec.structs.replace(
@@ -319,13 +341,13 @@
 
 
 class RequestMetrics:
-    """Counts and times requests by class, outcome and workspace."""
+    """Records counts and durations of requests."""
 
     def __init__(self, app: Application):
         self.metrics = app.metrics
 
-    def ended(self, request: CallerRequest, outcome: str) -> None:
-        """Records the end of a request."""
+    def record(self, request: CallerRequest, outcome: str) -> None:
+        """Records a request that ended with this outcome."""
         seconds = time.monotonic() - request.arrived_at
         request_class = request.rule.request_class
         workspace = self.metrics.workspaces.label(request.workspace_id)
@@ -349,7 +371,7 @@
     )
 
 
-def _too_late(retry_after: float) -> Failure:
+def _deadline_passed(retry_after: float) -> Failure:
     return failure(
         Kind.DEADLINE,
         "the deadline passed before the request could be run",
@@ -360,14 +382,14 @@
 def _stalled() -> Failure:
     return failure(
         Kind.ANSWER_CUT,
-        "the caller took no bytes for too long",
+        "the caller read no data within the stall timeout",
         Outcome.UNKNOWN,
     )
 
 
-def _budget_spent(reason: Failure) -> Failure:
+def _retry_budget_spent(reason: Failure) -> Failure:
     return failure(
         Kind.RETRIES_SPENT,
-        f"{reason.message}; too many requests are being retried already",
+        f"{reason.message}; not retried because the retry budget is spent",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/requests.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request once it was checked."""
+"""A caller's request after its admission."""
 
 import hashlib
 import time
@@ -19,19 +19,23 @@
 _PRIVATE_HEADERS = frozenset(
     {"authorization", "x-api-key", "host", "accept-encoding", "expect"}
 )
-"""Kept from endpoints: keys are the callers' secrets, and an answer that
-the endpoint compressed could not be metered."""
+"""Not forwarded to endpoints: credentials are the caller's secret, and a
+compressed response could not be metered."""
 
 
 @dataclass(eq=False)
 class CallerRequest:
-    """One request with all that decides how it is served.
+    """An admitted request.
 
     Attributes:
-        deadline_at: On the monotonic clock.
-        call: Set if it must not repeat.
-        suspect: An endpoint was lost while it ran.
-        delivered: A part of an answer has gone to the caller.
+        http: The caller's HTTP request.
+        rule: The bundle's rule that applies to it.
+        path: The path and query for the endpoint.
+        deadline_at: Monotonic time, in seconds.
+        call: The ticket of a call that must not repeat, else None.
+        suspect: An endpoint was lost while the request ran.
+        delivered: A part of the response was sent to the caller.
+        arrived_at: Monotonic time, in seconds.
     """
 
     http: web.Request
@@ -50,22 +54,22 @@
 
     @property
     def request_class(self) -> RequestClass:
-        """Its class, by the bundle's rules."""
+        """The request's class, by the bundle's rules."""
         return RequestClass(self.rule.request_class)
 
     @property
     def repeatable(self) -> bool:
-        """Whether the system may run it again."""
+        """Whether the request may be run more than once."""
         return self.rule.repeatable or self.http.method in ("GET", "HEAD")
 
     @property
     def prefix(self) -> str:
-        """Names its prompt's beginning."""
+        """The digest of the beginning of the prompt."""
         return prefix_digest(self.body)
 
     @property
     def body_digest(self) -> str:
-        """Names its route and body, for the ledger."""
+        """The digest of method, service, path and body, for the ledger."""
         state = hashlib.sha256()
         for part in (self.http.method, self.service_id, self.path):
             state.update(part.encode() + b"\0")
@@ -74,16 +78,16 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Names the request, whoever resends it through whichever entry."""
+        """Identifies the workspace's request, also when it is resent."""
         text = f"{self.workspace_id}\0{self.body_digest}"
         return Fingerprint(hashlib.sha256(text.encode()).hexdigest()[:32])
 
     def seconds_left(self) -> float:
-        """Returns what is left of the deadline."""
+        """Returns the seconds until the deadline."""
         return self.deadline_at - time.monotonic()
 
     def forwarded_headers(self) -> list[tuple[str, str]]:
-        """Returns the headers that the endpoint may see."""
+        """Returns the headers that are forwarded to the endpoint."""
         return [
             (str(name), value)
             for name, value in self.http.headers.items()
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -1,4 +1,4 @@
-"""Delivers an answer's frames to the caller, whole or visibly cut."""
+"""Delivers a response to the caller, or aborts it visibly."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,13 +13,13 @@
 from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
 
 OUTCOME_HEADER = "X-Marjoramyard-Outcome"
-BUFFER_BYTES = 1 << 20
-"""Up to this size an answer that is no stream is delivered at its end, so
-that a cut one can be run again and the outcome can be told."""
+MAX_BUFFERED_BYTES = 1 << 20
+"""Up to this size a response that is no stream is buffered until its end, so
+that a truncated one can be retried and the outcome header can be set."""
 
 
 class ResponseFailedError(Exception):
-    """The attempt's own end says that the answer failed or was cut."""
+    """The last frame of an attempt reports a failure."""
 
     def __init__(self, reason: Failure):
         super().__init__(reason.message)
@@ -27,11 +27,18 @@
 
 
 class CallerStalledError(Exception):
-    """The caller took no bytes for too long."""
+    """The caller read no data within the stall timeout."""
 
 
 class ResponseDelivery:
-    """One answer on its way to one caller."""
+    """Writes the frames of one response to its caller.
+
+    Attributes:
+        stall_seconds: How long a write to the caller may take.
+        response: Set once the response has begun.
+        head: The head of the frame with status and headers.
+        buffer: Data that was received before the response began.
+    """
 
     def __init__(self, request: CallerRequest, stall_seconds: float):
         self.request = request
@@ -42,10 +49,12 @@
         self.first_byte_at: float | None = None
 
     async def run(self, frames: AsyncIterator[Frame]) -> web.StreamResponse:
-        """Delivers all frames.
+        """Delivers all frames and returns the response.
 
         Raises:
-            ResponseFailedError: A frame told of a failure.
+            ResponseFailedError: A frame reports a failure, or the end frame
+                is missing.
+            CallerStalledError: The caller read no data for too long.
         """
         async for frame in frames:
             if frame.head.failure is not None:
@@ -57,9 +66,13 @@
                 if is_stream(self.head.headers):
                     await self._begin()
             else:
-                await self._data(frame.data)
+                await self._add_data(frame.data)
         raise ResponseFailedError(
-            failure(Kind.ANSWER_CUT, "the answer had no end", Outcome.UNKNOWN)
+            failure(
+                Kind.ANSWER_CUT,
+                "the response ended without its end frame",
+                Outcome.UNKNOWN,
+            )
         )
 
     async def _begin(self) -> None:
@@ -69,10 +82,10 @@
         self.response = response
         await response.prepare(self.request.http)
 
-    async def _data(self, data: bytes) -> None:
+    async def _add_data(self, data: bytes) -> None:
         if self.response is None:
             self.buffer += data
-            if len(self.buffer) > BUFFER_BYTES:
+            if len(self.buffer) > MAX_BUFFERED_BYTES:
                 await self._begin()
                 data, self.buffer = bytes(self.buffer), bytearray()
             else:
@@ -98,11 +111,11 @@
         self.request.delivered = True
         return response
 
-    async def cut(self, reason: Failure) -> None:
-        """Ends a begun answer so that it can't be taken for a whole one.
+    async def abort(self, reason: Failure) -> None:
+        """Ends a response that has begun, so that it looks incomplete.
 
-        A stream gets an event that says why. The connection is broken off
-        in any case: without it a chunked body would end as if whole.
+        A stream gets an error event. The connection is closed without the
+        last chunk, as the caller would take the body for complete otherwise.
         """
         if is_stream(self.head.headers):
             body = msgspec.json.encode(FailureBody(reason))
@@ -112,6 +125,6 @@
                 pass
         transport = self.request.http.transport
         if transport is not None and not transport.is_closing():
-            # Lets the event out before the break.
+            # Lets the event be sent before the connection is closed.
             await asyncio.sleep(0)
             transport.close()
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -1,4 +1,4 @@
-"""The entry role: callers' connections and waiting requests."""
+"""The entry role: accepts callers' requests and queues them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -32,14 +32,19 @@
 )
 from marjoramyard.kernel.ids import ServiceId
 
-_DRAIN_POLL = 0.05
-_PARSER_FACTOR = 4
-"""Up to so many times the limit a long header gets our own typed answer;
-past it the HTTP library breaks off with its plain one."""
+_DRAIN_POLL_SECONDS = 0.05
+_PARSER_LIMIT_FACTOR = 4
+"""The HTTP parser accepts headers of up to this multiple of the limit, so
+that they are refused with a typed error instead of the library's."""
 
 
 class EntryRole:
-    """One entry host."""
+    """One entry host.
+
+    Attributes:
+        active: Number of requests being handled.
+        leaving: The entry is draining and accepts no new request.
+    """
 
     def __init__(self, app: Application):
         self.app = app
@@ -51,7 +56,7 @@
         self.admission = Admission(
             self.membership, app.settings.max_header_bytes
         )
-        self.serving = RequestHandler(
+        self.handler = RequestHandler(
             app, self.membership, self.control, self.dispatchers
         )
         self.metrics = RequestMetrics(app)
@@ -61,7 +66,7 @@
         self.dispatchers.set_agents(list(self.membership.agents.values()))
 
     def row(self) -> DirectoryRow:
-        """Returns what the directory should say of this entry."""
+        """Returns this entry's directory row."""
         settings = self.app.settings
         return DirectoryRow(
             self.app.incarnation,
@@ -72,31 +77,31 @@
         )
 
     def start(self) -> None:
-        """Starts what runs in the background."""
+        """Starts the background tasks."""
         self.app.tasks.spawn(self.membership.run())
         self.app.tasks.spawn(self.dispatchers.refresh_forever())
 
-    # Service.
+    # Routes.
 
     def caller_routes(self) -> list[web.RouteDef]:
-        """Returns the callers' API."""
+        """Returns the routes for callers."""
         return [web.route("*", "/{path:.*}", self.on_request)]
 
     def internal_routes(self) -> list[web.RouteDef]:
-        """Returns the service to agents."""
+        """Returns the routes for agents."""
         return [
             web.post(GRANT_PATH, self.on_grant),
             web.post(FREE_PATH, self.on_free),
         ]
 
     async def on_free(self, request: web.Request) -> web.Response:
-        """Takes an agent's word that it is busy no more."""
+        """Handles an agent's message that it has free slots."""
         message = await read_message(request, FreeMessage)
         self.dispatchers.get(ServiceId(message.service)).on_free(message)
         return json_response(Empty())
 
     async def on_grant(self, request: web.Request) -> web.Response:
-        """Takes an agent's grant."""
+        """Handles an agent's grant of a slot."""
         message = await read_message(request, GrantMessage)
         dispatcher = self.dispatchers.get(ServiceId(message.service))
         if not self.membership.holds_lease():
@@ -104,11 +109,11 @@
         return json_response(dispatcher.on_grant(message))
 
     async def on_request(self, request: web.Request) -> web.StreamResponse:
-        """Serves a caller."""
+        """Handles a caller's request."""
         if self.leaving:
             raise_failure(
                 Kind.LEAVING,
-                "this entry is being stopped; send it again to another",
+                "this entry is being stopped; resend the request to another",
                 retry_after=1.0,
             )
         self.active += 1
@@ -125,30 +130,30 @@
             raise
         outcome = "caller-left"
         try:
-            response = await self.serving.serve(admitted)
+            response = await self.handler.serve(admitted)
             outcome = Outcome.COMPLETE.value
             return response
         except FleetError as error:
             outcome = error.failure.outcome
             raise
         finally:
-            self.metrics.ended(admitted, outcome)
+            self.metrics.record(admitted, outcome)
 
     def is_ready(self) -> bool:
-        """Returns whether the balancer may send callers here."""
+        """Returns whether load balancers may send requests here."""
         return self.membership.holds_lease() and not self.leaving
 
     async def drain(self) -> None:
-        """Takes no new request and waits for those that it has."""
+        """Refuses new requests and waits until the active ones ended."""
         self.leaving = True
         self.membership.announce_soon()
         while self.active:
-            await asyncio.sleep(_DRAIN_POLL)
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
 
 @asynccontextmanager
 async def entry_role(app: Application) -> AsyncIterator[EntryRole]:
-    """Runs an entry."""
+    """Runs an entry for the duration of the context."""
     role = EntryRole(app)
     settings = app.settings
     async with app.serve(settings.internal, role.internal_routes()):
@@ -156,7 +161,7 @@
             settings.listen,
             role.caller_routes(),
             internal=False,
-            max_header=_PARSER_FACTOR * settings.max_header_bytes,
+            max_header=_PARSER_LIMIT_FACTOR * settings.max_header_bytes,
         ):
             role.start()
             yield role
--- a/packages/fleet/tests/entry/test_admission.py
+++ b/packages/fleet/tests/entry/test_admission.py
@@ -1,4 +1,4 @@
-"""What callers send is checked before anything is queued or kept."""
+"""Tests of the checks of callers' requests."""
 
 import hashlib
 from types import SimpleNamespace
@@ -28,19 +28,19 @@
 
 
 class Body:
-    """A body in pieces; what comes with each may change the world."""
+    """A body in chunks; `on_read` is called before each."""
 
-    def __init__(self, pieces, on_read=None):
-        self.pieces = pieces
+    def __init__(self, chunks, on_read=None):
+        self.chunks = chunks
         self.on_read = on_read
-        self.given = 0
+        self.chunks_read = 0
 
     async def iter_any(self):
-        for piece in self.pieces:
+        for chunk in self.chunks:
             if self.on_read:
                 self.on_read()
-            self.given += 1
-            yield piece
+            self.chunks_read += 1
+            yield chunk
 
 
 def request(body, path="/v1/chat/completions", method="POST", **headers):
@@ -64,39 +64,39 @@
     return Admission(membership, 500), bundle
 
 
-async def refused(admission, asked):
+async def refused(admission, incoming):
     with pytest.raises(FleetError) as error:
-        await admission.admit(asked)
+        await admission.admit(incoming)
     return error.value.failure.kind
 
 
 CHAT = b'{"model":"chat"}'
 
 
-async def test_a_good_request_is_admitted_with_its_rule():
+async def test_a_valid_request_is_admitted_with_its_rule():
     admission, _ = make()
     admitted = await admission.admit(request(Body([CHAT])))
     assert admitted.workspace_id == "counter"
     assert admitted.repeatable and admitted.call is None
 
 
-async def test_what_no_rule_names_must_not_repeat():
+async def test_a_request_without_a_rule_must_not_repeat():
     admission, _ = make()
     path = "/services/shop/anything"
     assert await refused(admission, request(Body([]), path)) is (
         Kind.KEY_REQUIRED
     )
-    asked = request(Body([b"{}"]), path, Idempotency_Key="k")
-    admitted = await admission.admit(asked)
+    incoming = request(Body([b"{}"]), path, Idempotency_Key="k")
+    admitted = await admission.admit(incoming)
     assert admitted.call is not None and not admitted.repeatable
 
 
-async def test_an_endless_body_is_not_kept():
-    """A caller sends on and on, without saying how much."""
+async def test_an_endless_body_is_not_read_to_its_end():
+    """A body without a declared length must not fill the memory."""
     admission, _ = make()
     body = Body([b"x" * 60] * 1000)
     assert await refused(admission, request(body)) is Kind.TOO_LARGE
-    assert body.given <= 5
+    assert body.chunks_read <= 5
 
 
 async def test_a_body_over_its_own_services_limit_is_refused():
@@ -106,40 +106,41 @@
 
 
 async def test_a_workspace_that_is_removed_meanwhile_is_refused():
-    """A bundle without the workspace comes into force as it sends."""
+    """A bundle without the workspace is installed while the body is read."""
     admission, bundle = make()
 
     def remove():
         bundle.apply({}, ["workspaces/counter"])
 
-    asked = request(Body([CHAT], remove))
-    assert await refused(admission, asked) is Kind.UNKNOWN_KEY
+    incoming = request(Body([CHAT], remove))
+    assert await refused(admission, incoming) is Kind.UNKNOWN_KEY
 
 
-async def test_headers_that_two_parties_could_read_two_ways_are_refused():
+async def test_a_repeated_header_is_refused():
     admission, _ = make()
-    asked = request(Body([CHAT]))
-    asked.headers.add("Idempotency-Key", "a")
-    asked.headers.add("idempotency-key", "b")
-    assert await refused(admission, asked) is Kind.BAD_REQUEST
+    incoming = request(Body([CHAT]))
+    incoming.headers.add("Idempotency-Key", "a")
+    incoming.headers.add("idempotency-key", "b")
+    assert await refused(admission, incoming) is Kind.BAD_REQUEST
 
 
 async def test_a_huge_header_is_refused():
     admission, _ = make()
-    asked = request(Body([CHAT]), X_Long="x" * 600)
-    assert await refused(admission, asked) is Kind.TOO_LARGE
+    incoming = request(Body([CHAT]), X_Long="x" * 600)
+    assert await refused(admission, incoming) is Kind.TOO_LARGE
 
 
 @pytest.mark.parametrize(
     ("headers", "outcome"),
     [({}, "not-run"), ({"Idempotency_Key": "hold-1"}, "unknown")],
 )
-async def test_an_entry_without_a_lease_says_what_it_knows(headers, outcome):
-    """A booking is placed anew though it was booked.
+async def test_an_entry_without_a_lease_does_not_deny_an_earlier_call(
+    headers, outcome
+):
+    """An earlier request with the key may have run through another entry.
 
-    Its first try ran through another entry. The resend meets an entry that
-    has lost its lease and can't ask the ledger; told "not run", the caller
-    would take a new key, and the hold would be there twice.
+    With the outcome "not run" the caller would place the call with a new
+    key, and it would run twice.
     """
     admission, _ = make()
     admission.membership.refusal = lambda: failure(Kind.NO_LEASE, "no lease")
--- a/packages/fleet/tests/entry/test_request_handler.py
+++ b/packages/fleet/tests/entry/test_request_handler.py
@@ -1,4 +1,4 @@
-"""What a failed attempt means for the request."""
+"""Tests of the handling of failed attempts."""
 
 from types import SimpleNamespace
 
@@ -21,16 +21,16 @@
 
 class FakeDispatcher:
     def __init__(self):
-        self.passed_over = []
+        self.backed_off = []
 
     def back_off(self, address):
-        self.passed_over.append(address)
+        self.backed_off.append(address)
 
     def retry_after(self):
         return 2.0
 
 
-PLACE = Placement("127.0.0.1:1")
+PLACEMENT = Placement("127.0.0.1:1")
 
 
 def lost(outcome):
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "suspect", "passed_over"),
+    ("error", "suspect", "backed_off"),
     [
         (ResponseFailedError(lost(Outcome.UNKNOWN)), True, False),
         (ResponseFailedError(lost(Outcome.NOT_RUN)), False, False),
@@ -52,33 +52,30 @@
         ),
     ],
 )
-def test_only_a_death_seen_by_the_agent_makes_a_suspect(
-    error, suspect, passed_over
+def test_only_an_endpoint_lost_while_running_makes_a_suspect(
+    error, suspect, backed_off
 ):
-    """A network cut, or an endpoint that took no connection, does not.
-
-    Held apart for nothing, innocent requests would run one after the other.
-    """
+    """A lost agent, or an endpoint that refused the connection, does not."""
     request, dispatcher = SimpleNamespace(suspect=False), FakeDispatcher()
-    RequestHandler._note_loss(request, error, dispatcher, PLACE)
+    RequestHandler._record_loss(request, error, dispatcher, PLACEMENT)
     assert request.suspect == suspect
-    assert bool(dispatcher.passed_over) == passed_over
+    assert bool(dispatcher.backed_off) == backed_off
 
 
-def test_a_request_that_waited_past_the_lease_is_not_sent():
-    """The lease ended while it waited; a grant came all the same."""
+def test_a_request_that_was_queued_past_the_lease_is_not_sent():
+    """The lease expired in the queue, and a grant arrived afterwards."""
     refusal = failure(Kind.NO_LEASE, "no lease", retry_after=1.0)
-    serving = SimpleNamespace(
+    handler = SimpleNamespace(
         membership=SimpleNamespace(refusal=lambda: refusal)
     )
     with pytest.raises(FleetError) as refused:
         RequestHandler._check_may_run(
-            serving, SimpleNamespace(), FakeDispatcher()
+            handler, SimpleNamespace(), FakeDispatcher()
         )
     assert refused.value.failure.kind is Kind.NO_LEASE
 
 
-def test_budgets_follow_the_policy_in_force():
+def test_retry_budgets_follow_the_policy_in_force():
     policy = SimpleNamespace(retry_ratio=0.1, retry_burst=1.0)
     membership = SimpleNamespace(bundle=SimpleNamespace(policy=policy))
     budgets = RetryBudgets(membership)
