--- a/packages/fleet/src/marjoramyard/fleet/agent/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The role of the process beside an endpoint."""
+"""The agent role: the process next to an endpoint."""
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -1,4 +1,4 @@
-"""The agent's service to entries: run, resume, cancel."""
+"""The agent's service for entries: run, resume and cancel attempts."""
 
 import asyncio
 import time
@@ -34,18 +34,25 @@
 
 logger = get_logger(__name__)
 
-KEEPALIVE_SECONDS = 1.0
-_KEPT_SECONDS = 15.0
+KEEPALIVE_INTERVAL_SECONDS = 1.0
+_RETENTION_SECONDS = 15.0
 """How long an ended attempt's frames are kept for a resume."""
-_KEPT_DELIVERED = 200
-"""How many are kept whose last frame a link has taken. All of 15 seconds'
-worth took an agent that serves 800 short calls a second past 100 MB."""
-_SWEEP_SECONDS = 1.0
-_TOMBSTONES = 20_000
+_MAX_DELIVERED_ATTEMPTS = 200
+"""Attempts kept after their last frame was sent; bounds the memory."""
+_SWEEP_INTERVAL_SECONDS = 1.0
+_MAX_TOMBSTONES = 20_000
 
 
 class AttemptService:
-    """All attempts on this agent's endpoint."""
+    """Runs attempts on the endpoint and serves their frames to entries.
+
+    Attributes:
+        attempts: The running and retained attempts, by id.
+        ended: When each attempt ended; monotonic time, in seconds.
+        delivered: Attempts whose last frame was sent, oldest first.
+        tombstones: Cancelled attempt ids, oldest first.
+        session: The connections to the endpoint.
+    """
 
     def __init__(
         self,
@@ -72,7 +79,7 @@
         )
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the service to entries."""
+        """Returns the routes for entries."""
         return [
             web.post(OFFER_PATH, self.on_offer),
             web.post(RUN_PATH, self.on_run),
@@ -81,7 +88,7 @@
         ]
 
     async def on_offer(self, request: web.Request) -> web.Response:
-        """Takes in what waits at an entry."""
+        """Handles an entry's offer of queued requests."""
         message = await read_message(request, OfferMessage)
         return json_response(self.slots.on_offer(message))
 
@@ -90,17 +97,18 @@
     async def on_run(self, request: web.Request) -> web.StreamResponse:
         """Admits an attempt and streams its frames.
 
-        Any failure raised here is an answer of its own kind, and it is
-        raised only while nothing was sent to the endpoint.
+        Raises:
+            FleetError: The attempt is refused; nothing was sent to the
+                endpoint.
         """
         run = msgspec.json.decode(
             request.headers.get(RUN_HEADER, ""), type=RunRequest
         )
         body = await request.read()
-        # The entry may have given up while the body was on its way; no
-        # await stands between this check and the slot being taken.
+        # The entry may have cancelled while the body was read. There must
+        # be no await between this check and the allocation of the slot.
         if run.attempt in self.tombstones or run.attempt in self.attempts:
-            raise_failure(Kind.CANCELLED, "the entry gave this attempt up")
+            raise_failure(Kind.CANCELLED, "the entry cancelled this attempt")
         workspace = WorkspaceId(run.workspace)
         refusal = self.slots.admit(workspace, run.grant)
         if refusal is not None:
@@ -114,14 +122,21 @@
         return await self._stream(request, attempt, 0)
 
     async def _prepare(self, run: RunRequest, body: bytes) -> Attempt:
-        """Does what must be done before the first byte is sent."""
+        """Registers an attempt after all checks.
+
+        Raises:
+            FleetError: The attempt must not be sent to the endpoint.
+        """
         service = self.membership.bundle.services.get(run.service)
         if service is None or run.service != self.endpoint.announced.service:
-            raise_failure(Kind.NO_ENDPOINT, f"{run.service} is not here")
+            raise_failure(
+                Kind.NO_ENDPOINT,
+                f"the endpoint here doesn't serve {run.service}",
+            )
         fingerprint = Fingerprint(run.fingerprint)
-        left = self.membership.is_convicted(fingerprint)
-        if left is not None:
-            raise FleetError(quarantined(left))
+        seconds = self.membership.is_convicted(fingerprint)
+        if seconds is not None:
+            raise FleetError(quarantined(seconds))
         held = False
         if self.guard.is_suspect(fingerprint, run.suspect):
             refusal = await self.guard.hold(fingerprint)
@@ -146,11 +161,10 @@
             refusal = await start_call(self.control, run)
             if refusal is not None:
                 raise FleetError(refusal)
-        # Waiting for a hold or the ledger may have taken long, or this
-        # process was frozen. A call that started is the ledger's matter;
-        # for any other the entry's word is asked again.
+        # The entry may have cancelled while the hold was awaited. A call
+        # that was started in the ledger runs regardless.
         elif run.attempt in self.tombstones:
-            raise_failure(Kind.CANCELLED, "the entry gave this attempt up")
+            raise_failure(Kind.CANCELLED, "the entry cancelled this attempt")
 
     async def _execute(self, attempt: Attempt) -> None:
         run = attempt.run_request
@@ -159,14 +173,15 @@
             if reason is not None and reason.kind is Kind.ENDPOINT_LOST:
                 await self._check_endpoint()
             elif reason is None and run.call is not None:
-                # A resend must find the answer even if this one is lost.
+                # Stored first, so that a resend gets the response even if
+                # the delivery fails.
                 if not await finish_call(self.control, attempt):
                     self.app.metrics.count("answers_not_stored")
-            self._settle(attempt, reason)
+            self._record_result(attempt, reason)
             attempt.finish(reason)
         finally:
             if attempt.state is not AttemptState.ENDED:
-                attempt.finish(_fault())
+                attempt.finish(_interrupted())
             self.ended[AttemptId(run.attempt)] = time.monotonic()
             self.slots.release()
         if attempt.resumes:
@@ -176,7 +191,7 @@
             "runs", outcome=outcome, request_class=run.request_class
         )
 
-    def _settle(self, attempt: Attempt, reason: Failure | None) -> None:
+    def _record_result(self, attempt: Attempt, reason: Failure | None) -> None:
         run = attempt.run_request
         if reason is None:
             self.endpoint.prefixes.ran(run.prefix)
@@ -185,18 +200,18 @@
             self.guard.release(fingerprint, clear=reason is None)
 
     async def _check_endpoint(self) -> None:
-        """Finds out whether the endpoint died, and under whom."""
+        """Checks whether the endpoint died; reports the running requests."""
         running = [
             Fingerprint(a.run_request.fingerprint)
             for a in self.attempts.values()
             if a.state is AttemptState.SENT
         ]
-        word = self.endpoint.announced
-        if word.incarnation == self.endpoint.dead_incarnation:
+        announced = self.endpoint.announced
+        if announced.incarnation == self.endpoint.dead_incarnation:
             return
         if await self.endpoint.is_alive(self.session):
             return
-        if word.incarnation != self.endpoint.announced.incarnation:
+        if announced.incarnation != self.endpoint.announced.incarnation:
             return
         death_id = self.endpoint.mark_dead()
         self.membership.announce_soon()
@@ -211,36 +226,43 @@
         response.content_type = "application/octet-stream"
         await response.prepare(request)
         await attempt.stream(
-            first, response.write, KEEPALIVE_SECONDS, KEEPALIVE.encode()
+            first,
+            response.write,
+            KEEPALIVE_INTERVAL_SECONDS,
+            KEEPALIVE.encode(),
         )
-        self._note_delivered(attempt)
+        self._retain_delivered(attempt)
         await response.write_eof()
         return response
 
-    def _note_delivered(self, attempt: Attempt) -> None:
+    def _retain_delivered(self, attempt: Attempt) -> None:
         if not attempt.is_delivered:
             return
         self.delivered[AttemptId(attempt.run_request.attempt)] = None
-        while len(self.delivered) > _KEPT_DELIVERED:
-            self._forget(self.delivered.popitem(last=False)[0])
+        while len(self.delivered) > _MAX_DELIVERED_ATTEMPTS:
+            self._remove(self.delivered.popitem(last=False)[0])
 
-    def _forget(self, name: AttemptId) -> None:
-        self.attempts.pop(name, None)
-        self.ended.pop(name, None)
-        self.delivered.pop(name, None)
+    def _remove(self, attempt_id: AttemptId) -> None:
+        self.attempts.pop(attempt_id, None)
+        self.ended.pop(attempt_id, None)
+        self.delivered.pop(attempt_id, None)
 
     async def on_resume(self, request: web.Request) -> web.StreamResponse:
-        """Goes on with an attempt whose link broke."""
+        """Resumes the frames of an attempt whose connection was lost.
+
+        Raises:
+            FleetError: The attempt or the frames are no longer available.
+        """
         attempt = self.attempts.get(AttemptId(request.match_info["attempt"]))
         first = int(request.query.get("from", "0"))
         if attempt is None:
             raise_failure(
                 Kind.NOT_FOUND, "no such attempt here", Outcome.UNKNOWN
             )
-        if first < attempt.tail.first_kept:
+        if first < attempt.replay_buffer.first_kept:
             raise_failure(
                 Kind.ANSWER_CUT,
-                "the frames to resume from are gone",
+                f"frame {first} is no longer buffered",
                 Outcome.UNKNOWN,
             )
         self.app.metrics.count("resumes")
@@ -248,45 +270,47 @@
             return await self._stream(request, attempt, first)
         except TailLostError:
             raise_failure(
-                Kind.ANSWER_CUT, "the frames are gone", Outcome.UNKNOWN
+                Kind.ANSWER_CUT,
+                "the next frame is no longer buffered",
+                Outcome.UNKNOWN,
             )
 
     async def on_cancel(self, request: web.Request) -> web.Response:
-        """Stops an attempt, and rules out one that has not arrived yet.
+        """Cancels an attempt; one that arrives later is refused.
 
-        The mark is what makes "not run" true: a run request that was held
-        up on its way, or an agent that thaws later, finds it and refuses.
+        The tombstone guarantees the outcome "not run" for an attempt that
+        is delayed on its way or in this process.
         """
-        name = AttemptId(request.match_info["attempt"])
-        self.tombstones[name] = None
-        while len(self.tombstones) > _TOMBSTONES:
+        attempt_id = AttemptId(request.match_info["attempt"])
+        self.tombstones[attempt_id] = None
+        while len(self.tombstones) > _MAX_TOMBSTONES:
             self.tombstones.popitem(last=False)
-        attempt = self.attempts.get(name)
+        attempt = self.attempts.get(attempt_id)
         if attempt is None:
             return json_response(CancelReply(started=False))
         if attempt.run_request.call is None:
             attempt.cancel()
         return json_response(CancelReply(started=True))
 
-    # Upkeep.
+    # Maintenance.
 
     async def sweep(self) -> None:
-        """Cancels orphans and forgets ended attempts until cancelled."""
+        """Cancels orphans and removes ended attempts, until cancelled."""
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_SWEEP_INTERVAL_SECONDS)
             now = time.monotonic()
-            for name, attempt in list(self.attempts.items()):
-                ended_at = self.ended.get(name)
-                if ended_at is not None and now - ended_at > _KEPT_SECONDS:
-                    self._forget(name)
+            for attempt_id, attempt in list(self.attempts.items()):
+                ended_at = self.ended.get(attempt_id)
+                if ended_at is not None and now - ended_at > _RETENTION_SECONDS:
+                    self._remove(attempt_id)
                 elif ended_at is None and attempt.is_orphan(now):
                     self._cancel_orphan(attempt)
 
     def _cancel_orphan(self, attempt: Attempt) -> None:
-        """Frees the slot of an attempt that nobody will read.
+        """Cancels an attempt that no entry reads, which frees its slot.
 
-        A call that must not repeat goes on: its effect is on its way, and
-        only the answer in the ledger tells a resend of it.
+        A call that must not repeat goes on, so that its response is stored
+        in the ledger for a resend.
         """
         if attempt.run_request.call is None and not attempt.cancelled:
             self.app.metrics.count("orphans_cancelled")
@@ -297,7 +321,9 @@
         await self.session.close()
 
 
-def _fault() -> Failure:
+def _interrupted() -> Failure:
     return failure(
-        Kind.INTERNAL, "the agent was stopped while it ran", Outcome.UNKNOWN
+        Kind.INTERNAL,
+        "the agent was stopped while the request ran",
+        Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt on the endpoint: sent, metered, kept for a resume."""
+"""One attempt at the endpoint: sent, metered, buffered for a resume."""
 
 import asyncio
 import time
@@ -17,16 +17,19 @@
 from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
 from marjoramyard.kernel.ids import WorkspaceId
 
-RESUME_SECONDS = 5.0
-"""How long an attempt whose entry is gone goes on before it is cancelled."""
+ORPHAN_TIMEOUT_SECONDS = 5.0
+"""How long an attempt continues without a connection from its entry."""
 STREAM_END = b"[DONE]"
-ENGINE_RESUME_TRIES = 3
+MAX_ENGINE_RESUMES = 3
+"""Resumes in a row without an event in between."""
 HTTP_OK = 200
-_STREAM_TAIL = 64
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_STREAM_TAIL_BYTES = 64
+"""Long enough for the last event of a stream."""
 
 
 class AttemptState(Enum):
-    """How far an attempt has come."""
+    """The progress of an attempt."""
 
     ADMITTED = "admitted"
     SENT = "sent"
@@ -36,14 +39,30 @@
 def endpoint_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Returns the headers for the endpoint.
 
-    The client library would offer compression by itself; a compressed
-    answer can't be metered, and its caller may not have asked for it.
+    Compression is disabled explicitly, as the client library would request
+    it by default, and a compressed response can't be metered.
     """
     return [*end_to_end(headers), ("Accept-Encoding", "identity")]
 
 
 class Attempt:
-    """Runs one request on the endpoint and keeps the answer's frames."""
+    """Runs one request on the endpoint and buffers the response's frames.
+
+    Attributes:
+        progress: Set when frames were added.
+        space_available: Set when frames were sent to the entry.
+        reader: Identifies the connection that reads the frames, if any.
+        orphaned_at: When the last connection ended; monotonic time, in
+            seconds.
+        deadline_at: Monotonic time, in seconds.
+        response_body: The body of a call's response, to be stored.
+        stream_tail: The last bytes of the response.
+        resume_path: Where the engine's stream can be resumed, or "".
+        resumes: How often the engine's stream was resumed.
+        held_suspect: The request is a suspect, and the agent has a hold
+            for it.
+        is_delivered: The last frame was written to an entry.
+    """
 
     def __init__(
         self,
@@ -58,15 +77,15 @@
         self.endpoint = endpoint
         self.scheduler = scheduler
         self.meter = METERS.get(kind)()
-        self.tail = AnswerTail()
+        self.replay_buffer = AnswerTail()
         self.state = AttemptState.ADMITTED
         self.progress = asyncio.Event()
-        self.drained = asyncio.Event()
+        self.space_available = asyncio.Event()
         self.reader: object | None = None
         self.orphaned_at = time.monotonic()
         self.deadline_at = time.monotonic() + run.deadline_seconds
         self.cancelled = False
-        self.answer = bytearray()
+        self.response_body = bytearray()
         self.status = 0
         self.headers: list[tuple[str, str]] = []
         self.last_token_at: float | None = None
@@ -81,13 +100,17 @@
 
     @property
     def workspace(self) -> WorkspaceId:
-        """Whose request it is."""
+        """The workspace of the request."""
         return WorkspaceId(self.run_request.workspace)
 
     # Towards the endpoint.
 
     async def execute(self, session: aiohttp.ClientSession) -> Failure | None:
-        """Sends the request and takes the answer; returns why it failed."""
+        """Sends the request and reads the response.
+
+        Returns:
+            The failure, or None if the response is complete.
+        """
         reserved = self.scheduler.started(self.workspace)
         self.meter.begin(self.body)
         self._charge()
@@ -97,14 +120,15 @@
         except TimeoutError:
             return failure(
                 Kind.DEADLINE,
-                "the deadline passed while it ran; ask for a later one",
+                "the deadline passed while the request ran; retry with a "
+                "later one",
                 Outcome.UNKNOWN,
             )
         except asyncio.CancelledError:
             if not self.cancelled:
                 raise
             return failure(
-                Kind.CANCELLED, "the caller went away", Outcome.UNKNOWN
+                Kind.CANCELLED, "the caller disconnected", Outcome.UNKNOWN
             )
         finally:
             self.meter.end()
@@ -116,7 +140,9 @@
         run = self.run_request
         url = f"http://{self.endpoint.announced.address}{run.path}"
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=2.0, sock_read=run.stall_seconds
+            total=None,
+            sock_connect=_CONNECT_TIMEOUT_SECONDS,
+            sock_read=run.stall_seconds,
         )
         self.state = AttemptState.SENT
         try:
@@ -134,29 +160,29 @@
         except aiohttp.ClientConnectorError:
             self.state = AttemptState.ADMITTED
             return failure(
-                Kind.ENDPOINT_LOST, "the endpoint takes no connection"
+                Kind.ENDPOINT_LOST, "connection to the endpoint failed"
             )
         except aiohttp.ServerTimeoutError:
             return failure(
                 Kind.ENDPOINT_STALLED,
-                f"the endpoint was silent for {run.stall_seconds:g} s",
+                f"the endpoint sent no data for {run.stall_seconds:g} s",
                 Outcome.UNKNOWN,
             )
         except (aiohttp.ClientError, OSError) as error:
             return failure(
                 Kind.ENDPOINT_LOST,
-                f"the endpoint cut the answer: {error!r}",
+                f"connection to the endpoint lost: {error!r}",
                 Outcome.UNKNOWN,
             )
         finally:
-            # A connection with an answer half read must never carry the
-            # next request: the rest would be taken for its answer.
+            # A connection with unread data must not be reused: the data
+            # would be read as the next response.
             self._release_upstream()
 
     def _begin_response(self, response: aiohttp.ClientResponse) -> None:
         self.status = response.status
         self.headers = end_to_end(list(response.headers.items()))
-        self.tail.begin(self.status, self.headers)
+        self.replay_buffer.begin(self.status, self.headers)
         if is_stream(self.headers):
             self.events = EventCutter()
             self.resume_path = response.headers.get("Content-Location", "")
@@ -170,7 +196,7 @@
             response.release()
 
     async def _read_response(self, session: aiohttp.ClientSession) -> None:
-        """Takes the answer; a broken stream is resumed if it can be."""
+        """Reads the response; resumes an interrupted stream if possible."""
         tries = 0
         while True:
             before = self.events.last_id if self.events else ""
@@ -178,10 +204,10 @@
                 await self._read_chunks(self.upstream)
                 return
             except aiohttp.ClientPayloadError:
-                # Progress in between makes it a new break, not the same.
-                moved = self.events and self.events.last_id != before
-                tries = 1 if moved else tries + 1
-                if not self._can_resume() or tries > ENGINE_RESUME_TRIES:
+                # Resumes are limited only while no new event arrives.
+                progressed = self.events and self.events.last_id != before
+                tries = 1 if progressed else tries + 1
+                if not self._can_resume() or tries > MAX_ENGINE_RESUMES:
                     raise
                 self.upstream.close()
                 self.upstream = await self._resume(session)
@@ -192,15 +218,15 @@
                 chunk = self.events.feed(chunk)
                 if not chunk:
                     continue
-            await self._take(chunk)
+            await self._add_chunk(chunk)
 
-    async def _take(self, chunk: bytes) -> None:
+    async def _add_chunk(self, chunk: bytes) -> None:
         self._observe(chunk)
-        self.tail.data(chunk)
+        self.replay_buffer.data(chunk)
         self.progress.set()
-        while self.tail.is_full:
-            self.drained.clear()
-            await self.drained.wait()
+        while self.replay_buffer.is_full:
+            self.space_available.clear()
+            await self.space_available.wait()
 
     def _can_resume(self) -> bool:
         return bool(self.events and self.events.last_id and self.resume_path)
@@ -208,10 +234,13 @@
     async def _resume(
         self, session: aiohttp.ClientSession
     ) -> aiohttp.ClientResponse:
-        """Asks for the events behind the last one that we passed on.
+        """Requests the events after the last one that was forwarded.
 
-        This is the usual protocol of server-sent events: the stream's place
-        from Content-Location, the last event in Last-Event-ID.
+        The stream's URL comes from Content-Location, and Last-Event-ID names
+        the last event.
+
+        Raises:
+            aiohttp.ClientPayloadError: The engine refuses.
         """
         self.events.drop_rest()
         address = self.endpoint.announced.address
@@ -223,7 +252,7 @@
         if response.status != HTTP_OK:
             response.close()
             raise aiohttp.ClientPayloadError(
-                f"the stream can't be resumed: status {response.status}"
+                f"stream not resumed: status {response.status}"
             )
         self.resumes += 1
         return response
@@ -238,19 +267,18 @@
                 self.endpoint.slots.observe(gap)
             self.last_token_at = now
         if self.run_request.call is not None:
-            self.answer += chunk
-        self.stream_tail = (self.stream_tail + chunk)[-_STREAM_TAIL:]
+            self.response_body += chunk
+        self.stream_tail = (self.stream_tail + chunk)[-_STREAM_TAIL_BYTES:]
 
     def _charge(self) -> None:
-        amount = self.meter.take()
+        amount = self.meter.collect()
         if amount > 0:
             self.scheduler.charge(self.workspace, amount)
 
     def _check_complete(self) -> Failure | None:
-        """Finds a stream that ended early although its connection did not.
+        """Returns a failure if a stream has ended without its last event.
 
-        An engine that gives up mid-answer may close the body in order; only
-        the last event tells a whole stream from a cut one.
+        An engine that aborts a response may still end its body regularly.
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
@@ -261,7 +289,7 @@
         return None
 
     def cancel(self) -> None:
-        """Stops it at the endpoint, which frees the slot."""
+        """Cancels the request at the endpoint, which frees the slot."""
         self.cancelled = True
         if self.task is not None:
             self.task.cancel()
@@ -269,12 +297,12 @@
     # Towards the entry.
 
     def finish(self, reason: Failure | None) -> None:
-        """Ends the answer, whole or with the reason why not."""
+        """Adds the last frame: the end, or the failure if there is one."""
         self.state = AttemptState.ENDED
         if reason is None:
-            self.tail.end()
+            self.replay_buffer.end()
         else:
-            self.tail.fail(reason)
+            self.replay_buffer.fail(reason)
         self.progress.set()
 
     async def stream(
@@ -286,21 +314,26 @@
     ) -> None:
         """Writes frames from number `first` on until the last one.
 
-        One link reads at a time: a resume takes over from a link that the
-        entry has given up, which may still look open from here.
+        One connection reads at a time. A resume replaces the previous one,
+        which may still seem open here.
+
+        Args:
+            first: The number of the first frame.
+            write: Sends bytes to the entry.
+            keepalive_seconds: Interval of keepalives while nothing arrives.
+            keepalive: The encoded keepalive frame.
         """
-        me = self.reader = object()
+        reader = self.reader = object()
         number = first
         try:
-            while self.reader is me:
-                frames = self.tail.from_number(number)
+            while self.reader is reader:
+                frames = self.replay_buffer.from_number(number)
                 if frames:
-                    # One write for all that is there: a system call for
-                    # each frame was a tenth of the agent's time.
+                    # One write for all frames saves system calls.
                     await write(b"".join(frame.encode() for frame in frames))
                     number = frames[-1].head.n + 1
-                    self.tail.mark_sent(number)
-                    self.drained.set()
+                    self.replay_buffer.mark_sent(number)
+                    self.space_available.set()
                     if frames[-1].head.is_last:
                         self.is_delivered = True
                         return
@@ -312,12 +345,12 @@
                 except TimeoutError:
                     await write(keepalive)
         finally:
-            if self.reader is me:
+            if self.reader is reader:
                 self.reader = None
                 self.orphaned_at = time.monotonic()
 
     def is_orphan(self, now: float) -> bool:
-        """Returns whether no entry has come back for it in time."""
+        """Returns whether its entry did not reconnect within the timeout."""
         if self.reader is not None:
             return False
-        return now - self.orphaned_at > RESUME_SECONDS
+        return now - self.orphaned_at > ORPHAN_TIMEOUT_SECONDS
--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -1,4 +1,4 @@
-"""Calls that must not repeat: the ledger before the first byte."""
+"""The agent's ledger entries for calls that must not repeat."""
 
 import base64
 import hashlib
@@ -16,35 +16,41 @@
 from marjoramyard.kernel.errors import Failure, Kind, failure
 
 MAX_STORED_BYTES = 64 << 10
-_START_SECONDS = 4.0
-_FINISH_SECONDS = 2.0
+_START_TIMEOUT_SECONDS = 4.0
+_FINISH_TIMEOUT_SECONDS = 2.0
 
 
 async def start_call(control: ControlClient, run: RunRequest) -> Failure | None:
-    """Has `started` committed; returns why the call must not be sent.
+    """Commits the call as `started` before it is sent.
 
-    Whoever asks later finds `started` and does not send the call again.
-    When no answer comes the command may have been committed, so the call
-    is not sent and its outcome is left to the ledger.
+    From then on the call is not sent again. If the control hosts don't
+    reply, the command may have been committed, so the call is not sent
+    either, and the ledger decides its outcome.
+
+    Returns:
+        None if the call may be sent, else the reason why not.
     """
     ticket = run.call
     command = StartCall(
         ticket.key, ticket.body_digest, run.attempt, ticket.epoch
     )
-    reply = await control.command(command, _START_SECONDS)
+    reply = await control.command(command, _START_TIMEOUT_SECONDS)
     if isinstance(reply, Err):
         return reply.err_value
     view = reply.ok_value.call
     if view.refusal is not None:
         return view.refusal
     if view.state is not CallState.STARTED or view.attempt != run.attempt:
-        return failure(Kind.CANCELLED, "another attempt has this call")
+        return failure(Kind.CANCELLED, "another attempt has started this call")
     return None
 
 
 async def finish_call(control: ControlClient, attempt: Attempt) -> bool:
-    """Stores the whole answer for resends; returns whether it is stored."""
-    body = bytes(attempt.answer)
+    """Stores the response for resends; returns whether it was committed.
+
+    A body over `MAX_STORED_BYTES` is left out.
+    """
+    body = bytes(attempt.response_body)
     stored = None
     if len(body) <= MAX_STORED_BYTES:
         stored = base64.b64encode(body).decode()
@@ -56,5 +62,5 @@
     )
     run = attempt.run_request
     command = FinishCall(run.call.key, run.attempt, answer)
-    reply = await control.command(command, _FINISH_SECONDS)
+    reply = await control.command(command, _FINISH_TIMEOUT_SECONDS)
     return not isinstance(reply, Err)
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -1,4 +1,4 @@
-"""What the agent knows of the endpoint beside it."""
+"""The agent's view of its endpoint."""
 
 import asyncio
 import time
@@ -12,13 +12,22 @@
 
 logger = get_logger(__name__)
 
-SILENCE_SECONDS = 6.0
-"""An endpoint that has not announced itself for so long gets no new work."""
-_PROBE_SECONDS = 1.0
+ANNOUNCEMENT_TIMEOUT_SECONDS = 6.0
+"""An endpoint without an announcement for this time gets no new work."""
+_PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Endpoint:
-    """The endpoint's own word, and what running requests on it showed."""
+    """The endpoint's announced and observed state.
+
+    Attributes:
+        max_slots: Upper limit of the announced slots; 0 for none.
+        announced: The last announcement.
+        last_announced_at: Monotonic time, in seconds.
+        dead_incarnation: The last incarnation that was found dead.
+        slots: The limit of concurrent requests.
+        prefixes: The prompt prefixes that its cache may hold.
+    """
 
     def __init__(self, max_slots: int):
         self.max_slots = max_slots
@@ -28,48 +37,63 @@
         self.slots = SlotLimit(1)
         self.prefixes = PrefixHistory()
 
-    def announce(self, word: Announcement) -> bool:
-        """Takes in an announcement; returns whether it changed anything."""
+    def on_announcement(self, announcement: Announcement) -> bool:
+        """Applies an announcement.
+
+        Returns:
+            Whether the endpoint restarted or its state changed.
+        """
         before = self.announced
-        is_restart = before is None or before.incarnation != word.incarnation
+        is_restart = (
+            before is None or before.incarnation != announcement.incarnation
+        )
         if is_restart:
             self.prefixes = PrefixHistory()
-            self.slots = SlotLimit(self._capped(word.slots))
-            logger.info("endpoint_announced", name=word.name, state=word.state)
-        self.announced = word
+            self.slots = SlotLimit(self._capped(announcement.slots))
+            logger.info(
+                "endpoint_announced",
+                name=announcement.name,
+                state=announcement.state,
+            )
+        self.announced = announcement
         self.last_announced_at = time.monotonic()
-        self.slots.announce(self._capped(word.slots))
-        if word.event_number >= 0:
-            self.prefixes.evicted(word.event_number, word.evicted)
-        return is_restart or before.state != word.state
+        self.slots.announce(self._capped(announcement.slots))
+        if announcement.event_number >= 0:
+            self.prefixes.evicted(
+                announcement.event_number, announcement.evicted
+            )
+        return is_restart or before.state != announcement.state
 
     def _capped(self, slots: int) -> int:
         return min(slots, self.max_slots) if self.max_slots else slots
 
     @property
     def is_ready(self) -> bool:
-        """Returns whether it may get new work."""
-        word = self.announced
-        if word is None or word.state != "ready":
+        """Whether the endpoint may get new work."""
+        announced = self.announced
+        if announced is None or announced.state != "ready":
             return False
-        if word.incarnation == self.dead_incarnation:
+        if announced.incarnation == self.dead_incarnation:
             return False
-        return time.monotonic() - self.last_announced_at < SILENCE_SECONDS
+        return (
+            time.monotonic() - self.last_announced_at
+            < ANNOUNCEMENT_TIMEOUT_SECONDS
+        )
 
     def mark_dead(self) -> str:
-        """Notes that this life of the endpoint ended; returns its id."""
+        """Records the death of the current incarnation; returns its id."""
         self.dead_incarnation = self.announced.incarnation
         logger.warning("endpoint_died", incarnation=self.dead_incarnation)
         return self.dead_incarnation
 
     async def is_alive(self, session: aiohttp.ClientSession) -> bool:
-        """Asks the endpoint itself.
+        """Probes the endpoint; returns whether it accepts a connection.
 
-        A broken connection alone may be one request's own trouble; only an
-        endpoint that takes no connection any more is dead.
+        One lost connection doesn't imply that the endpoint died. A slow
+        response counts as alive.
         """
         try:
-            async with asyncio.timeout(_PROBE_SECONDS):
+            async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
                 async with session.get(
                     f"http://{self.announced.address}/health"
                 ) as response:
--- a/packages/fleet/src/marjoramyard/fleet/agent/meters.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/meters.py
@@ -1,4 +1,4 @@
-"""How the service of a run is measured while it runs."""
+"""Meters of the service that a request receives."""
 
 import re
 import time
@@ -8,77 +8,83 @@
 from marjoramyard.kernel.registry import Registry
 
 BYTES_PER_TOKEN = 4
-"""A rough measure of prompt tokens, until the engine gives its own count."""
-MILLISECONDS = 1000.0
+"""Estimates the prompt's tokens until the engine reports its own count."""
+MILLISECONDS_PER_SECOND = 1000.0
 _TAIL_BYTES = 2048
+"""Length of the response's end in which the usage report is searched."""
 _USAGE = re.compile(rb'"usage"\s*:\s*(\{[^{}]*\})')
 
 
 class Usage(msgspec.Struct):
-    """The engine's own count at the end of an answer."""
+    """The engine's own count at the end of a response."""
 
     prompt_tokens: float = 0.0
     completion_tokens: float = 0.0
 
 
 class Meter:
-    """Counts service units; `take` returns those since the last call."""
+    """Counts the service units of one request.
+
+    Attributes:
+        total: Units counted so far.
+        charged: Units that `collect` has returned.
+    """
 
     def __init__(self):
         self.total = 0.0
-        self.taken = 0.0
+        self.charged = 0.0
 
     def begin(self, body: bytes) -> None:
-        """The request goes to the endpoint."""
+        """Starts the count as the request is sent."""
 
     def observe(self, chunk: bytes) -> int:
-        """A piece of the answer came; returns how many tokens it holds."""
+        """Counts a chunk of the response; returns its number of tokens."""
         return 0
 
     def end(self) -> None:
-        """The answer ended, whole or not."""
+        """Completes the count at the end of the response."""
 
-    def take(self) -> float:
-        """Returns units to charge now; never below zero.
+    def collect(self) -> float:
+        """Returns the units to charge since the last call, at least 0.
 
-        Totals only grow, so a count that was too high is not given back
-        but held against what comes.
+        Charged totals never decrease, so an excess is deducted from later
+        units.
         """
-        amount = max(0.0, self.total - self.taken)
-        self.taken += amount
+        amount = max(0.0, self.total - self.charged)
+        self.charged += amount
         return amount
 
 
 METERS: Registry[type[Meter]] = Registry("meter")
-"""The meter of each kind of service."""
+"""The meters by kind of service."""
 
 
 @METERS.register("engine")
 class TokenMeter(Meter):
-    """Prompt tokens at the start, output tokens as they stream."""
+    """Counts prompt tokens at the start and output tokens as they arrive."""
 
     def __init__(self):
         super().__init__()
         self.tail = b""
 
     def begin(self, body: bytes) -> None:
-        """Charges the prompt by its size."""
+        """Counts the prompt, estimated by its size."""
         self.total = len(body) / BYTES_PER_TOKEN
 
     def observe(self, chunk: bytes) -> int:
-        """Counts an event as a token, as engines stream them."""
+        """Counts each event as one token."""
         tokens = chunk.count(b"data:")
         self.total += tokens
         self.tail = (self.tail + chunk)[-_TAIL_BYTES:]
         return tokens
 
     def end(self) -> None:
-        """Corrects the count by the engine's own, if it gave one."""
-        found = _USAGE.findall(self.tail)
-        if not found:
+        """Replaces the count by the engine's own, if it reported one."""
+        reports = _USAGE.findall(self.tail)
+        if not reports:
             return
         try:
-            usage = msgspec.json.decode(found[-1], type=Usage)
+            usage = msgspec.json.decode(reports[-1], type=Usage)
         except msgspec.DecodeError:
             return
         self.total = usage.prompt_tokens + usage.completion_tokens
@@ -86,21 +92,21 @@
 
 @METERS.register("plain")
 class TimeMeter(Meter):
-    """Milliseconds that the call took."""
+    """Counts the milliseconds that a request takes."""
 
     def __init__(self):
         super().__init__()
         self.started = 0.0
 
     def begin(self, body: bytes) -> None:
-        """Starts the clock."""
+        """Records the start."""
         self.started = time.monotonic()
 
     def observe(self, chunk: bytes) -> int:
-        """Brings the count up to now."""
+        """Updates the count."""
         self.end()
         return 0
 
     def end(self) -> None:
-        """Brings the count up to now."""
-        self.total = (time.monotonic() - self.started) * MILLISECONDS
+        """Updates the count."""
+        self.total = (time.monotonic() - self.started) * MILLISECONDS_PER_SECOND
--- a/packages/fleet/src/marjoramyard/fleet/agent/orders.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/orders.py
@@ -1,4 +1,4 @@
-"""Passes engine orders on, never an older one after a newer one."""
+"""Forwards engine orders, never an older one after a newer one."""
 
 import asyncio
 
@@ -12,12 +12,19 @@
 
 logger = get_logger(__name__)
 
-_ORDER_SECONDS = 30.0
-_RETRY_SECONDS = 1.0
+_ORDER_TIMEOUT_SECONDS = 30.0
+_RETRY_DELAY_SECONDS = 1.0
 
 
 class OrderForwarder:
-    """Applies the newest order to the endpoint."""
+    """Forwards the newest order to the endpoint.
+
+    Attributes:
+        guard: Refuses orders older than the newest known one.
+        wanted: The order to forward.
+        wake: Set when there may be an order to forward.
+        forwarded: Incarnation and order number of the last forwarded order.
+    """
 
     def __init__(self, app: Application, endpoint: Endpoint):
         self.app = app
@@ -25,44 +32,50 @@
         self.guard = FencingGuard()
         self.wanted: Order | None = None
         self.wake = asyncio.Event()
-        self.applied: tuple[str, int] = ("", 0)
+        self.forwarded: tuple[str, int] = ("", 0)
+
+    def on_order(self, order: Order | None, newest: int) -> None:
+        """Applies an update from the confirmed leader.
 
-    def learn(self, order: Order | None, newest: int) -> None:
-        """Takes in what a confirmed leader says."""
+        Args:
+            order: The order in force, if any.
+            newest: The endpoint's newest fencing number.
+        """
         self.guard.learn(newest)
         self.wanted = order
         self.wake.set()
 
     async def run(self, session: aiohttp.ClientSession) -> None:
-        """Sends the newest order until the endpoint has taken it."""
+        """Forwards the newest order, with retries, until cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while not await self._apply(session):
-                await asyncio.sleep(_RETRY_SECONDS)
+            while not await self._forward(session):
+                await asyncio.sleep(_RETRY_DELAY_SECONDS)
 
-    async def _apply(self, session: aiohttp.ClientSession) -> bool:
-        order, word = self.wanted, self.endpoint.announced
+    async def _forward(self, session: aiohttp.ClientSession) -> bool:
+        """Returns False if the order has to be sent again."""
+        order, announced = self.wanted, self.endpoint.announced
         if order is None:
             return True
-        if word is None or word.name != order.endpoint:
+        if announced is None or announced.name != order.endpoint:
             return False
-        if self.applied == (word.incarnation, order.number):
+        if self.forwarded == (announced.incarnation, order.number):
             return True
         refusal = self.guard.admit(order.number)
         if refusal is not None:
             logger.warning("order_refused", number=order.number)
             return True
         try:
-            async with asyncio.timeout(_ORDER_SECONDS):
+            async with asyncio.timeout(_ORDER_TIMEOUT_SECONDS):
                 async with session.post(
-                    f"http://{word.address}/admin/orders",
+                    f"http://{announced.address}/admin/orders",
                     data=msgspec.json.encode(order),
                 ) as response:
                     await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
-        self.applied = (word.incarnation, order.number)
-        logger.info("order_passed", number=order.number, action=order.action)
+        self.forwarded = (announced.incarnation, order.number)
+        logger.info("order_forwarded", number=order.number, action=order.action)
         self.app.metrics.count("orders", status=str(response.status))
         return True
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -1,4 +1,4 @@
-"""The agent role: one process beside each endpoint."""
+"""The agent role: one process next to each endpoint."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,11 +20,12 @@
 
 logger = get_logger(__name__)
 
-_WATCH_SECONDS = 0.5
+_WATCH_INTERVAL_SECONDS = 0.5
+_DRAIN_POLL_SECONDS = 0.05
 
 
 class AgentRole:
-    """The only way to its endpoint."""
+    """One agent; all requests to its endpoint pass through it."""
 
     def __init__(self, app: Application):
         self.app = app
@@ -37,60 +38,62 @@
         self.slots = SlotAllocator(
             app, self.membership, self.endpoint, lambda: self.leaving
         )
-        self.runs = AttemptService(
+        self.attempt_service = AttemptService(
             app, self.membership, self.control, self.endpoint, self.slots
         )
-        self.orders = OrderForwarder(app, self.endpoint)
-        self.membership.on_order.append(self.orders.learn)
+        self.order_forwarder = OrderForwarder(app, self.endpoint)
+        self.membership.on_order.append(self.order_forwarder.on_order)
 
     def row(self) -> DirectoryRow:
-        """Returns what the directory should say of this agent."""
-        settings, word = self.app.settings, self.endpoint.announced
+        """Returns this agent's directory row."""
+        settings, announced = self.app.settings, self.endpoint.announced
         state = "ready" if self.endpoint.is_ready else "down"
-        if self.leaving or (word is not None and word.state == "leaving"):
+        if self.leaving or (
+            announced is not None and announced.state == "leaving"
+        ):
             state = "leaving"
         return DirectoryRow(
             self.app.incarnation,
             "agent",
             settings.zone,
             settings.reachable,
-            word.service if word else "",
+            announced.service if announced else "",
             state,
-            self.endpoint.slots.limit if word else 0,
-            word.name if word else "",
-            word.checks_fencing if word else False,
+            self.endpoint.slots.limit if announced else 0,
+            announced.name if announced else "",
+            announced.checks_fencing if announced else False,
         )
 
     def start(self) -> None:
-        """Starts what runs in the background."""
-        for work in (
+        """Starts the background tasks."""
+        for coroutine in (
             self.membership.run(),
             self.slots.maintain(),
-            self.runs.sweep(),
-            self.orders.run(self.runs.session),
+            self.attempt_service.sweep(),
+            self.order_forwarder.run(self.attempt_service.session),
             self._watch_endpoint(),
         ):
-            self.app.tasks.spawn(work)
+            self.app.tasks.spawn(coroutine)
 
     async def _watch_endpoint(self) -> None:
-        """Tells the directory when the endpoint falls silent or comes back."""
-        known = False
+        """Updates the directory when the endpoint's readiness changes."""
+        was_ready = False
         while True:
-            await asyncio.sleep(_WATCH_SECONDS)
-            if self.endpoint.is_ready != known:
-                known = not known
-                logger.info("endpoint_ready", ready=known)
+            await asyncio.sleep(_WATCH_INTERVAL_SECONDS)
+            if self.endpoint.is_ready != was_ready:
+                was_ready = not was_ready
+                logger.info("endpoint_ready", ready=was_ready)
                 self.membership.announce_soon()
 
     def endpoint_routes(self) -> list[web.RouteDef]:
-        """Returns the service to the endpoint."""
+        """Returns the routes for the endpoint."""
         return [web.post("/announce", self.on_announce)]
 
     async def on_announce(self, request: web.Request) -> web.Response:
-        """Takes in the endpoint's announcement."""
-        word = await read_message(request, Announcement)
-        if self.endpoint.announce(word):
-            self.orders.wake.set()
+        """Handles the endpoint's announcement."""
+        announcement = await read_message(request, Announcement)
+        if self.endpoint.on_announcement(announcement):
+            self.order_forwarder.wake.set()
             self.membership.announce_soon()
         self.slots.grant_free_slots()
         return json_response(Empty())
@@ -100,34 +103,34 @@
         return self.slots.accepts_work()
 
     async def drain(self) -> None:
-        """Takes no new work, and waits for all attempts and their readers.
+        """Refuses new work and waits until no attempt runs or is read.
 
-        An ended attempt whose last frames no entry has fetched yet still
-        counts: exiting then would cut an answer that is whole.
+        An ended attempt whose frames an entry is still reading counts too,
+        as an exit would truncate its response.
         """
         self.leaving = True
         self.membership.announce_soon()
         while self.slots.running or any(
             attempt.reader is not None
-            for attempt in self.runs.attempts.values()
+            for attempt in self.attempt_service.attempts.values()
         ):
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
 
 @asynccontextmanager
 async def agent_role(app: Application) -> AsyncIterator[AgentRole]:
-    """Runs an agent."""
+    """Runs an agent for the duration of the context."""
     role = AgentRole(app)
     settings = app.settings
     try:
-        async with app.serve(settings.internal, role.runs.routes()):
+        async with app.serve(settings.internal, role.attempt_service.routes()):
             async with app.serve(
                 settings.endpoint_listen, role.endpoint_routes(), internal=False
             ):
                 role.start()
                 yield role
     finally:
-        await role.runs.close()
+        await role.attempt_service.close()
 
 
 def setup(app: Application) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -1,4 +1,4 @@
-"""The agent's slots: grants to waiting requests, and direct runs."""
+"""Allocates the endpoint's slots to queued requests and direct attempts."""
 
 import asyncio
 import random
@@ -33,28 +33,42 @@
 
 logger = get_logger(__name__)
 
-_GRANT_SECONDS = 2.0
-"""How long an entry may take to answer a grant."""
-_USE_SECONDS = 1.5
-"""How long it may then take to use it."""
-_ENTRY_SILENCE_SECONDS = 3.0
-_MAINTAIN_SECONDS = 0.5
+_GRANT_TIMEOUT_SECONDS = 2.0
+"""Timeout of an entry's response to a grant."""
+_GRANT_USE_TIMEOUT_SECONDS = 1.5
+"""Timeout of the attempt after the grant was accepted."""
+_ENTRY_TIMEOUT_SECONDS = 3.0
+_MAINTENANCE_INTERVAL_SECONDS = 0.5
 
 
 class Grant(msgspec.Struct, eq=False):
-    """A slot that is kept for one entry's request."""
+    """A slot that is reserved for a request of one entry.
+
+    Attributes:
+        choice: The workspace and the entry.
+        expires_at: Monotonic time, in seconds.
+    """
 
     choice: Choice
     expires_at: float
 
 
 class SlotAllocator:
-    """Gives the endpoint's free slots to whom they are owed.
-
-    A slot is running, granted or free. Grants go out one for each free
-    slot; one that comes back unused frees its slot and the next workspace
-    is chosen at once, so no slot is idle while a request it could run
-    waits.
+    """Grants the endpoint's free slots in fair order.
+
+    A slot is running, granted or free. Each free slot is granted to the
+    workspace that the fair scheduler chooses; if the grant is not used, the
+    next workspace is chosen at once.
+
+    Attributes:
+        links: The exchange of totals with each entry.
+        addresses: The entries' addresses.
+        reported_busy_to: Entries that were last sent a count of 0 free slots.
+        grants: The grants that are not used yet, by id.
+        running: Number of attempts that occupy a slot.
+        busy_seconds: Busy time of all slots.
+        idle_while_waiting: Idle slot time, in seconds, while requests were
+            queued.
     """
 
     def __init__(
@@ -82,9 +96,9 @@
         self.running = 0
         self.busy_seconds = 0.0
         self.idle_while_waiting = 0.0
-        self.accounted_at = time.monotonic()
+        self.accounted_until = time.monotonic()
         membership.on_bundle.append(self._on_bundle)
-        self._watch()
+        self._register_gauges()
 
     def _share_of(self, workspace: WorkspaceId) -> float:
         known = self.membership.bundle.workspaces.get(workspace)
@@ -96,7 +110,7 @@
         self.totals.step = policy.totals_step
         self.grant_free_slots()
 
-    def _watch(self) -> None:
+    def _register_gauges(self) -> None:
         metrics = self.app.metrics
         metrics.gauge("fairness_gap", lambda: [(self.scheduler.gap(), {})])
         metrics.gauge("slots", self._slot_numbers)
@@ -111,65 +125,65 @@
             (self.idle_while_waiting, {"state": "idle_while_waiting"}),
         ]
 
-    # Accounts.
+    # Usage.
 
     @property
     def free(self) -> int:
-        """How many more requests could run now."""
+        """The number of slots that are neither running nor granted."""
         limit = self.endpoint.slots.limit
         return max(0, limit - self.running - len(self.grants))
 
-    def _account(self) -> None:
+    def _update_usage(self) -> None:
         now = time.monotonic()
-        passed = now - self.accounted_at
-        self.accounted_at = now
-        self.busy_seconds += passed * self.running
+        elapsed = now - self.accounted_until
+        self.accounted_until = now
+        self.busy_seconds += elapsed * self.running
         if self.scheduler.has_waiting() and self.endpoint.is_ready:
-            # A granted slot is idle too until its run begins.
+            # A granted slot counts as idle until its attempt starts.
             idle = max(0, self.endpoint.slots.limit - self.running)
             waiting = self.scheduler.waiting_count() + len(self.grants)
-            self.idle_while_waiting += passed * min(idle, waiting)
+            self.idle_while_waiting += elapsed * min(idle, waiting)
 
     def utilisation(self) -> float:
-        """Returns busy time over the time that could have been busy."""
-        self._account()
+        """Returns the busy part, from 0 to 1, of the time with demand."""
+        self._update_usage()
         possible = self.busy_seconds + self.idle_while_waiting
         return self.busy_seconds / possible if possible else 1.0
 
     def accepts_work(self) -> bool:
-        """Returns whether new work may start here at all."""
+        """Returns whether new work may start here."""
         return (
             self.endpoint.is_ready
             and not self.is_leaving()
             and self.membership.holds_lease()
         )
 
-    # Entries' word.
+    # Messages from entries.
 
     def link(self, entry: str) -> TotalsLink:
-        """Returns what an entry and we have of each other's totals."""
+        """Returns the exchange of totals with an entry."""
         if entry not in self.links:
             self.links[entry] = TotalsLink(self.totals)
         return self.links[entry]
 
     def on_offer(self, message: OfferMessage) -> OfferReply:
-        """Takes in what waits at an entry."""
+        """Applies an entry's offer of queued requests."""
         entry = Incarnation(message.entry)
         link = self.link(entry)
         if message.totals is not None:
-            # Totals first: a restarted agent must know everybody's
-            # standing before it compares them.
+            # A restarted agent needs the totals before it chooses among the
+            # offers.
             link.incoming(message.totals)
         self.addresses[entry] = message.address
         now = time.monotonic()
-        self._account()
+        self._update_usage()
         if self.scheduler.hear(entry, message.zone, message.sequence, now):
             if message.whole:
                 self.scheduler.replace_offers(entry, message.rows)
             else:
                 self.scheduler.offer(entry, message.rows)
         if message.leaving:
-            self.forget(entry)
+            self.remove_entry(entry)
         self.grant_free_slots()
         if self.free == 0:
             self.reported_busy_to.add(entry)
@@ -178,24 +192,24 @@
             self.free, len(self.addresses), totals, self.is_leaving()
         )
 
-    def forget(self, entry: str) -> None:
-        """Forgets an entry that left or fell silent."""
+    def remove_entry(self, entry: str) -> None:
+        """Removes the state of an entry that left or timed out."""
         self.links.pop(entry, None)
         self.addresses.pop(entry, None)
         self.reported_busy_to.discard(entry)
 
     async def maintain(self) -> None:
-        """Expires silent entries and lapsed grants until cancelled."""
+        """Expires unresponsive entries and unused grants until cancelled."""
         while True:
-            await asyncio.sleep(_MAINTAIN_SECONDS)
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_SECONDS)
             now = time.monotonic()
-            self._account()
-            for entry in self.scheduler.expire(now - _ENTRY_SILENCE_SECONDS):
-                self.forget(entry)
-                logger.info("entry_silent", entry=entry)
-            for name, grant in list(self.grants.items()):
+            self._update_usage()
+            for entry in self.scheduler.expire(now - _ENTRY_TIMEOUT_SECONDS):
+                self.remove_entry(entry)
+                logger.info("entry_expired", entry=entry)
+            for grant_id, grant in list(self.grants.items()):
                 if grant.expires_at < now:
-                    del self.grants[name]
+                    del self.grants[grant_id]
                     self.app.metrics.count("grants", outcome="lapsed")
             self.scheduler.write_off_credit()
             self.grant_free_slots()
@@ -203,23 +217,23 @@
     # Grants.
 
     def grant_free_slots(self) -> None:
-        """Grants every free slot to the workspace that it is owed."""
+        """Grants each free slot to the workspace that is next in order."""
         while self.free > 0 and self.accepts_work():
             choice = self.scheduler.next(self.endpoint.prefixes.is_warm)
             if choice is None:
                 self._notify_free()
                 return
             self.scheduler.taken(choice)
-            name = secrets.token_hex(6)
-            expires_at = time.monotonic() + 2 * _GRANT_SECONDS
-            self.grants[name] = Grant(choice, expires_at)
-            self.app.tasks.spawn(self._grant(name, choice))
+            grant_id = secrets.token_hex(6)
+            expires_at = time.monotonic() + 2 * _GRANT_TIMEOUT_SECONDS
+            self.grants[grant_id] = Grant(choice, expires_at)
+            self.app.tasks.spawn(self._grant(grant_id, choice))
 
     def _notify_free(self) -> None:
-        """Corrects entries that believe us busy.
+        """Notifies entries to which the agent was reported as busy.
 
-        They tell busy agents of a new backlog only with the next refresh;
-        without this word a slot could be idle until then while work waits.
+        Entries send new backlogs to few busy agents; without this message a
+        slot could be idle until the next refresh.
         """
         service = self.endpoint.announced.service
         message = FreeMessage(self.app.incarnation, service, self.free)
@@ -227,48 +241,64 @@
             address = self.addresses.get(entry, "")
             self.app.tasks.spawn(
                 self.app.client.call(
-                    address, FREE_PATH, message, Empty, _GRANT_SECONDS
+                    address, FREE_PATH, message, Empty, _GRANT_TIMEOUT_SECONDS
                 )
             )
         self.reported_busy_to.clear()
 
-    async def _grant(self, name: str, choice: Choice) -> None:
+    async def _grant(self, grant_id: str, choice: Choice) -> None:
         address = self.addresses.get(choice.entry)
         message = GrantMessage(
             self.app.incarnation,
             self.app.settings.reachable,
             self.endpoint.announced.service,
             choice.workspace,
-            name,
+            grant_id,
         )
         reply = await self.app.client.call(
-            address or "", GRANT_PATH, message, GrantReply, _GRANT_SECONDS
+            address or "",
+            GRANT_PATH,
+            message,
+            GrantReply,
+            _GRANT_TIMEOUT_SECONDS,
         )
-        taken = not isinstance(reply, Err) and reply.ok_value.taken
-        outcome = "taken" if taken else "unused"
+        accepted = not isinstance(reply, Err) and reply.ok_value.taken
+        outcome = "taken" if accepted else "unused"
         self.app.metrics.count("grants", outcome=outcome)
-        if taken:
-            self._on_taken(name, choice, reply.ok_value)
-        if not taken:
-            self._account()
-            self.grants.pop(name, None)
+        if accepted:
+            self._on_grant_accepted(grant_id, choice, reply.ok_value)
+        if not accepted:
+            self._update_usage()
+            self.grants.pop(grant_id, None)
             self.scheduler.unused(choice)
             self.grant_free_slots()
 
-    def _on_taken(self, name: str, choice: Choice, reply: GrantReply) -> None:
-        if name in self.grants:
-            self.grants[name].expires_at = time.monotonic() + _USE_SECONDS
+    def _on_grant_accepted(
+        self, grant_id: str, choice: Choice, reply: GrantReply
+    ) -> None:
+        if grant_id in self.grants:
+            self.grants[grant_id].expires_at = (
+                time.monotonic() + _GRANT_USE_TIMEOUT_SECONDS
+            )
         if reply.left and choice.entry in self.scheduler.entries:
-            # The offer may be older than what has come since; without this
-            # the next slot would wait for a refresh beside a full queue.
+            # The reply is newer than the offer, so the next slot needn't
+            # wait for a refresh.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
             self.scheduler.offer(choice.entry, [row])
             self.grant_free_slots()
 
-    # Runs.
+    # Attempts.
 
     def admit(self, workspace: WorkspaceId, grant: str) -> Failure | None:
-        """Takes a slot for a run, or says why not; then nothing was run."""
+        """Occupies a slot for an attempt.
+
+        Args:
+            workspace: The workspace of the request.
+            grant: The grant to use, or "" for a direct attempt.
+
+        Returns:
+            None if the attempt may run, else the refusal.
+        """
         if self.is_leaving():
             return failure(Kind.LEAVING, "the agent is leaving; use another")
         refusal = self.membership.refusal()
@@ -280,17 +310,19 @@
                 "the endpoint is not ready; use another",
                 retry_after=random.uniform(1.0, 3.0),
             )
-        self._account()
+        self._update_usage()
         if grant:
             if self.grants.pop(grant, None) is None:
-                return failure(Kind.BUSY, "the grant has lapsed; wait anew")
+                return failure(
+                    Kind.BUSY, "the grant has expired; queue the request again"
+                )
         elif self.free == 0 or not self.scheduler.may_go_first(workspace):
-            return failure(Kind.BUSY, "no slot is free for a direct run")
+            return failure(Kind.BUSY, "no slot is free for a direct attempt")
         self.running += 1
         return None
 
     def release(self) -> None:
-        """Gives a run's slot back."""
-        self._account()
+        """Frees an attempt's slot."""
+        self._update_usage()
         self.running -= 1
         self.grant_free_slots()
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -1,4 +1,4 @@
-"""The agent's part in finding requests that crash endpoints."""
+"""The agent's isolation of requests that may crash endpoints."""
 
 import random
 
@@ -16,12 +16,16 @@
 from marjoramyard.kernel.errors import Failure, Kind, failure
 from marjoramyard.kernel.ids import Fingerprint
 
-_HOLD_SECONDS = 3.0
-_REPORT_SECONDS = 20.0
+_HOLD_TIMEOUT_SECONDS = 3.0
+_REPORT_TIMEOUT_SECONDS = 20.0
 
 
 class SuspectGuard:
-    """Runs one suspect at a time here, and each at one agent at a time."""
+    """Limits suspects to one at a time per agent, and each to one agent.
+
+    Attributes:
+        held: The suspect that may run here, if any.
+    """
 
     def __init__(
         self, app: Application, membership: Membership, control: ControlClient
@@ -32,46 +36,67 @@
         self.held: Fingerprint | None = None
 
     def is_suspect(self, fingerprint: Fingerprint, marked: bool) -> bool:
-        """Returns whether a request must be held apart."""
+        """Returns whether a request must be isolated.
+
+        Args:
+            fingerprint: The request's fingerprint.
+            marked: Whether the entry marked it as a suspect.
+        """
         return marked or fingerprint in self.membership.suspects
 
     async def hold(self, fingerprint: Fingerprint) -> Failure | None:
-        """Gets leave to run a suspect here; returns why not.
+        """Requests a hold, which permits a suspect to run here.
+
+        If two suspects ran on one endpoint, its death could not be
+        attributed to one of them.
 
-        Two suspects on one endpoint could not be told apart when it dies,
-        and one suspect on two endpoints could cost both.
+        Returns:
+            None if the hold is granted, else the refusal.
         """
         if self.held is not None:
-            return _later()
+            return _held_apart()
         self.held = fingerprint
         command = HoldSuspect(fingerprint, self.app.incarnation)
-        reply = await self.control.command(command, _HOLD_SECONDS)
+        reply = await self.control.command(command, _HOLD_TIMEOUT_SECONDS)
         if isinstance(reply, Err) or not reply.ok_value.granted:
             self.held = None
-            left = self.membership.is_convicted(fingerprint)
-            return quarantined(left) if left else _later()
+            seconds = self.membership.is_convicted(fingerprint)
+            return quarantined(seconds) if seconds else _held_apart()
         return None
 
     def release(self, fingerprint: Fingerprint, clear: bool) -> None:
-        """Ends a hold; a request that ended well is no suspect any more."""
+        """Ends a hold.
+
+        Args:
+            fingerprint: The suspect's fingerprint.
+            clear: Whether the request succeeded, so that it is no suspect
+                any more.
+        """
         self.held = None
         command = ReleaseSuspect(fingerprint, self.app.incarnation, clear)
-        self.app.tasks.spawn(self.control.command(command, _REPORT_SECONDS))
+        self.app.tasks.spawn(
+            self.control.command(command, _REPORT_TIMEOUT_SECONDS)
+        )
 
     async def report(
         self, death_id: str, fingerprints: list[Fingerprint]
     ) -> None:
-        """Tells the control hosts which requests an endpoint died under."""
+        """Reports to the control hosts the requests at an endpoint's death.
+
+        Args:
+            death_id: Identifies the death, so that it counts once.
+            fingerprints: The requests that were running.
+        """
         self.membership.suspects.update(fingerprints)
         command = ReportDeath(death_id, list(fingerprints))
-        await self.control.command(command, _REPORT_SECONDS)
+        await self.control.command(command, _REPORT_TIMEOUT_SECONDS)
         self.app.metrics.count("endpoint_deaths_reported")
 
 
-def _later() -> Failure:
+def _held_apart() -> Failure:
     return failure(
         Kind.HELD_APART,
-        "this request ran when an endpoint died; it runs again as soon as "
-        "it can run apart from other such requests",
+        "this request was running when an endpoint died; it is run again "
+        "separately from other such requests",
         retry_after=random.uniform(0.5, 1.5),
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/__init__.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The role of an entry host: callers, waiting requests, answers."""
+"""The entry role: receives, queues and forwards callers' requests."""
--- a/packages/fleet/tests/agent/test_attempt_service.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -1,4 +1,4 @@
-"""The agent's side of "not run" and of suspects, with small fakes."""
+"""Tests of attempts at an agent: cancellation, calls, suspects, meters."""
 
 from collections import OrderedDict
 from types import SimpleNamespace
@@ -35,22 +35,22 @@
 
 
 class FakeControl:
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *replies):
+        self.replies = list(replies)
         self.commands = []
 
     async def command(self, command, _):
         self.commands.append(command)
-        return self.answers.pop(0)
+        return self.replies.pop(0)
 
 
 def make_service():
     app = SimpleNamespace(metrics=None, tasks=None, incarnation="agent~1")
-    runs = AttemptService.__new__(AttemptService)
-    runs.app = app
-    runs.attempts = {}
-    runs.tombstones = OrderedDict()
-    return runs
+    service = AttemptService.__new__(AttemptService)
+    service.app = app
+    service.attempts = {}
+    service.tombstones = OrderedDict()
+    return service
 
 
 def request_for(attempt):
@@ -58,32 +58,29 @@
 
 
 async def test_an_attempt_that_arrives_after_its_cancellation_is_refused():
-    """The run request hangs on its way; the entry gives up and cancels.
+    """The reply to the cancellation says that the attempt did not start.
 
-    The agent says that it was not started, so the caller is told "not
-    run". The request then arrives: it must find the mark.
+    The caller has received the outcome "not run" when the run request
+    arrives late.
     """
-    runs = make_service()
-    response = await runs.on_cancel(request_for("a1"))
+    service = make_service()
+    response = await service.on_cancel(request_for("a1"))
     assert not msgspec.json.decode(response.body, type=CancelReply).started
     late = SimpleNamespace(
         headers={"X-Marjoramyard-Run": msgspec.json.encode(run_request())},
         read=_read_nothing,
     )
     with pytest.raises(FleetError) as refused:
-        await runs.on_run(late)
+        await service.on_run(late)
     assert refused.value.failure.kind is Kind.CANCELLED
 
 
-async def test_a_cancellation_while_leave_is_awaited_is_found_before_sending():
-    """The agent waits for leave to run a suspect, and is frozen there.
-
-    Meanwhile the entry gave up, and the caller was told "not run".
-    """
-    runs = make_service()
-    runs.tombstones["a1"] = None
+async def test_a_cancellation_while_a_hold_is_awaited_prevents_sending():
+    """The caller has received the outcome "not run" meanwhile."""
+    service = make_service()
+    service.tombstones["a1"] = None
     with pytest.raises(FleetError) as refused:
-        await runs._start_call(run_request())
+        await service._start_call(run_request())
     assert refused.value.failure.kind is Kind.CANCELLED
 
 
@@ -92,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "may_send"),
+    ("reply", "may_send"),
     [
         (Ok(Reply(call=LedgerView(0, CallState.STARTED, "a1"))), True),
         (Ok(Reply(call=LedgerView(0, CallState.STARTED, "other"))), False),
@@ -105,19 +102,19 @@
             ),
             False,
         ),
-        (Err(failure(Kind.NO_QUORUM, "no answer")), False),
+        (Err(failure(Kind.NO_QUORUM, "no reply")), False),
     ],
 )
 async def test_a_call_is_sent_only_after_its_own_start_is_committed(
-    answer, may_send
+    reply, may_send
 ):
     run = run_request(call=CallTicket("k", "d", 0))
-    refusal = await start_call(FakeControl(answer), run)
+    refusal = await start_call(FakeControl(reply), run)
     assert (refusal is None) == may_send
 
 
 async def test_a_second_suspect_waits_for_the_first():
-    """Two suspects on one endpoint could not be told apart."""
+    """A death could not be attributed to one of two suspects."""
     control = FakeControl(Ok(Reply(granted=True)))
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, SimpleNamespace(), control)
@@ -125,7 +122,7 @@
     assert (await guard.hold("two")).kind is Kind.HELD_APART
 
 
-async def test_a_suspect_that_runs_elsewhere_waits():
+async def test_a_suspect_that_is_held_elsewhere_waits():
     control = FakeControl(Ok(Reply(granted=False)))
     membership = SimpleNamespace(is_convicted=lambda _: None)
     app = SimpleNamespace(incarnation="agent~1")
@@ -134,7 +131,7 @@
     assert guard.held is None
 
 
-def test_an_endpoint_is_asked_for_a_plain_answer():
+def test_an_uncompressed_response_is_requested():
     headers = endpoint_headers([("Connection", "close"), ("X-A", "b")])
     assert headers == [("X-A", "b"), ("Accept-Encoding", "identity")]
 
@@ -142,13 +139,13 @@
 def test_tokens_are_charged_as_they_stream_and_corrected_at_the_end():
     meter = METERS.get("engine")()
     meter.begin(b"x" * 400)
-    assert meter.take() == 100.0
+    assert meter.collect() == 100.0
     meter.observe(b"data: a\n\ndata: b\n\n")
-    assert meter.take() == 2.0
+    assert meter.collect() == 2.0
     meter.observe(
         b'data: {"usage":{"prompt_tokens":90,"completion_tokens":30}}\n\n'
     )
     meter.end()
-    assert meter.take() == 18.0
+    assert meter.collect() == 18.0
     meter.total = 0.0
-    assert meter.take() == 0.0
+    assert meter.collect() == 0.0
