--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -236,8 +236,8 @@
     ) -> aiohttp.ClientResponse:
         """Requests the events after the last one that was forwarded.
 
-        The stream's URL comes from Content-Location, and Last-Event-ID names
-        the last event.
+        The stream's URL comes from Content-Location; Last-Event-ID
+        identifies the last event.
 
         Raises:
             aiohttp.ClientPayloadError: The engine refuses.
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -102,7 +102,7 @@
     ) -> Workspace:
         workspace = self.bundle.workspaces.get(workspace_id)
         if workspace is None:
-            # A new bundle came into force while the body was read.
+            # A new bundle was installed while the body was read.
             raise_failure(Kind.UNKNOWN_KEY, "the workspace was removed")
         if service_id not in workspace.services:
             raise_failure(
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -57,7 +57,7 @@
 
 
 class AgentView:
-    """What a dispatcher knows of one agent.
+    """The state that a dispatcher keeps for one agent.
 
     Attributes:
         in_flight: Attempts that this entry has running at the agent.
--- a/packages/fleet/tests/entry/test_dispatchers.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -145,7 +145,7 @@
 async def test_a_request_over_the_workspaces_limits_is_refused_at_once(
     request_,
 ):
-    """The queue of a workspace with excess load must not grow on."""
+    """The queue of a workspace with excess load must be bounded."""
     dispatchers = make_dispatchers()
     dispatcher = dispatchers.get("chat")
     dispatcher.queue.add(
