--- a/packages/coordination/src/marjoramyard/coordination/placement/broker.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker.py
@@ -54,25 +54,27 @@
 
     def __init__(self, profile: EngineProfile, rate: float):
         super().__init__(profile, rate)
-        self.lines: dict[str, RequestQueue] = {}
-        self.level: dict[str, float] = {}
-        self.waiting: dict[str, QueuedRequest] = {}
+        self.queues: dict[str, RequestQueue] = {}
+        self.virtual_time: dict[str, float] = {}
+        self.queued: dict[str, QueuedRequest] = {}
         # What silent routers have asked for, by key.
         self.suspended: dict[str, QueuedRequest] = {}
         self.counter = 0
 
     def counts(self) -> dict[str, int]:
         """Returns how many requests wait, are being read, and run."""
-        reading = sum(1 for f in self.flights.values() if f.is_reading)
+        reading = sum(1 for f in self.in_flight.values() if f.is_reading)
         return {
-            "waiting": len(self.waiting),
+            "waiting": len(self.queued),
             "reading": reading,
-            "running": len(self.flights) - reading,
+            "running": len(self.in_flight) - reading,
         }
 
     # Requests.
 
-    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
+    def submit(
+        self, ask: PlacementRequest, now: float
+    ) -> PlacementRefusal | None:
         """Takes in a request; it is refused at once if it would be late."""
         waiting = QueuedRequest(ask, self._cost(ask))
         late = self._predict_late(waiting, now)
@@ -83,7 +85,7 @@
 
     def _enter_line(self, waiting: QueuedRequest) -> None:
         workspace = waiting.ask.workspace
-        line = self.lines.setdefault(workspace, RequestQueue())
+        line = self.queues.setdefault(workspace, RequestQueue())
         if not line.heap:
             self._level_up(workspace)
         self._queue(waiting)
@@ -92,15 +94,15 @@
         self._leave(waiting.ask.key)
         waiting.is_gone = False
         self.counter += 1
-        self.lines[waiting.ask.workspace].push(waiting, self.counter)
-        self.waiting[waiting.ask.key] = waiting
+        self.queues[waiting.ask.workspace].push(waiting, self.counter)
+        self.queued[waiting.ask.key] = waiting
 
     def _cost(self, ask: PlacementRequest) -> float:
         """Returns the tokens that a request is likely to have read."""
         best = 0
         for engine in self.engines.values():
             best = max(best, engine.kept.leading_tokens(ask.parts))
-        return max(1.0, ask.tokens - best)
+        return max(1.0, ask.prompt_tokens - best)
 
     def _level_up(self, workspace: str) -> None:
         """Lets a workspace that was idle start at the least served one.
@@ -109,15 +111,19 @@
         from the others until it had caught up.
         """
         active = [
-            self.level.get(name, 0.0)
-            for name, line in self.lines.items()
+            self.virtual_time.get(name, 0.0)
+            for name, line in self.queues.items()
             if line.heap
         ]
-        floor = min(active, default=max(self.level.values(), default=0.0))
-        self.level[workspace] = max(self.level.get(workspace, 0.0), floor)
+        floor = min(
+            active, default=max(self.virtual_time.values(), default=0.0)
+        )
+        self.virtual_time[workspace] = max(
+            self.virtual_time.get(workspace, 0.0), floor
+        )
 
     def predicted_wait_ms(
-        self, workspace: str, aim_at: float = math.inf
+        self, workspace: str, first_token_due_at: float = math.inf
     ) -> float:
         """Returns how long a request of a workspace would wait here.
 
@@ -127,25 +133,27 @@
         ours is ahead of it; a chat that is due in 400 ms would be refused
         for the sake of long prompts that it passes.
         """
-        own = self.lines.get(workspace)
-        level = self.level.get(workspace, 0.0)
-        reached = level + (own.tokens_before(aim_at) if own else 0.0)
+        own = self.queues.get(workspace)
+        level = self.virtual_time.get(workspace, 0.0)
+        reached = level + (
+            own.tokens_before(first_token_due_at) if own else 0.0
+        )
         ahead = 0.0
-        for name, line in self.lines.items():
+        for name, line in self.queues.items():
             if not line.heap:
                 continue
             if line is own:
                 ahead += reached - level
                 continue
-            gap = reached - self.level.get(name, 0.0)
+            gap = reached - self.virtual_time.get(name, 0.0)
             ahead += min(max(gap, 0.0), line.tokens)
         if not any(e.is_usable for e in self.engines.values()):
             return 0.0
-        return self.mean_wait_ms + ahead / self.total_rate
+        return self.mean_wait_ms + ahead / self.total_prefill_rate
 
     def _read_ms(self, waiting: QueuedRequest) -> float:
         count = sum(1 for e in self.engines.values() if e.is_usable) or 1
-        return waiting.cost / (self.total_rate / count)
+        return waiting.cost / (self.total_prefill_rate / count)
 
     def _due_at(self, waiting: QueuedRequest) -> float:
         """Returns when the first token is due.
@@ -155,7 +163,7 @@
         """
         ask = waiting.ask
         needs = self._read_ms(waiting) + FIRST_TOKEN_MS + LARGE_SLACK_MS
-        return max(ask.aim_at, ask.asked_at + needs)
+        return max(ask.first_token_due_at, ask.submitted_at + needs)
 
     def _predict_late(
         self, waiting: QueuedRequest, now: float
@@ -163,7 +171,7 @@
         if not any(e.is_usable for e in self.engines.values()):
             return None
         ask = waiting.ask
-        wait_ms = self.predicted_wait_ms(ask.workspace, ask.aim_at)
+        wait_ms = self.predicted_wait_ms(ask.workspace, ask.first_token_due_at)
         first_ms = wait_ms + self._read_ms(waiting) + FIRST_TOKEN_MS
         slack_ms = self._due_at(waiting) - now - self._read_ms(waiting)
         over_ms = wait_ms + FIRST_TOKEN_MS - slack_ms * UNFIT_MARGIN
@@ -191,7 +199,7 @@
         of the lines until it is heard again.
         """
         self.end_unsent(router, now)
-        for key, waiting in list(self.waiting.items()):
+        for key, waiting in list(self.queued.items()):
             if waiting.ask.router == router:
                 self._leave(key)
                 self.suspended[key] = waiting
@@ -205,44 +213,46 @@
                 self._enter_line(QueuedRequest(waiting.ask, waiting.cost))
 
     def _leave(self, key: str) -> None:
-        waiting = self.waiting.pop(key, None)
+        waiting = self.queued.pop(key, None)
         if waiting is not None:
-            self.lines[waiting.ask.workspace].leave(waiting)
+            self.queues[waiting.ask.workspace].leave(waiting)
 
-    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
+    def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that a router sent without a grant.
 
         It takes of its workspace's share like any other, or a workspace
         would be ahead of the others by what went past the line.
         """
         engine = self.engines.get(sent.endpoint)
-        if engine is None or sent.key in self.flights:
+        if engine is None or sent.key in self.in_flight:
             return
-        is_reading = sent.tokens > 0
+        is_reading = sent.prefill_tokens > 0
         flight = InFlightRequest(
             sent.endpoint,
-            sent.tokens,
-            sent.memory,
+            sent.prefill_tokens,
+            sent.memory_tokens,
             now,
             is_reading,
             sent.router,
         )
         self.add_flight(engine, sent.key, flight)
-        cost = service_cost(sent.tokens, sent.output_tokens)
+        cost = service_cost(sent.prefill_tokens, sent.output_tokens)
         self._charge(sent.workspace, cost)
 
     def _charge(self, workspace: str, cost: float) -> None:
-        self.level[workspace] = self.level.get(workspace, 0.0) + cost
+        self.virtual_time[workspace] = (
+            self.virtual_time.get(workspace, 0.0) + cost
+        )
 
     # Grants.
 
-    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
+    def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Grants as many requests as engines should get now.
 
         A request that waited until it can't be on time any more, though it
         was predicted to be, gives way: while others wait it is refused.
         """
-        if self.late:
+        if self.lagging_routers:
             self.end_expected(now)
         told: list[PlacementGrant | PlacementRefusal] = []
         deferred: list[QueuedRequest] = []
@@ -253,12 +263,12 @@
             if waiting is None:
                 break
             ask = waiting.ask
-            crowded = bool(self.waiting)
-            if now >= ask.give_up_at or (
+            crowded = bool(self.queued)
+            if now >= ask.deadline_at or (
                 crowded and self._is_late(waiting, now)
             ):
                 wait_ms = self.predicted_wait_ms(ask.workspace)
-                told.append(refusal(ask.key, wait_ms, now - ask.asked_at))
+                told.append(refusal(ask.key, wait_ms, now - ask.submitted_at))
                 continue
             granted = self._place(ask, now)
             if granted is None:
@@ -271,12 +281,12 @@
 
     def _next(self) -> QueuedRequest | None:
         """Takes the most urgent request of the least served workspace."""
-        names = [name for name, line in self.lines.items() if line.heap]
+        names = [name for name, line in self.queues.items() if line.heap]
         if not names:
             return None
-        name = min(names, key=lambda n: self.level.get(n, 0.0))
-        waiting = self.lines[name].pop()
-        del self.waiting[waiting.ask.key]
+        name = min(names, key=lambda n: self.virtual_time.get(n, 0.0))
+        waiting = self.queues[name].pop()
+        del self.queued[waiting.ask.key]
         return waiting
 
     def _place(
@@ -291,9 +301,10 @@
         usable = [
             engine
             for engine in self.engines.values()
-            if engine.is_usable and engine.endpoint not in ask.without
+            if engine.is_usable
+            and engine.endpoint not in ask.excluded_endpoints
         ]
-        memory = ask.own_memory
+        memory = ask.own_memory_tokens
         roomy = [engine for engine in usable if engine.has_room(memory)]
         if not roomy:
             return None
@@ -302,23 +313,25 @@
         if not engine.takes(memory):
             return None
         flight = InFlightRequest(
-            engine.endpoint, plan.tokens, memory, now, router=ask.router
+            engine.endpoint, plan.prefill_tokens, memory, now, router=ask.router
         )
         self.add_flight(engine, ask.key, flight)
         engine.kept.read(ask.parts)
-        cost = service_cost(plan.tokens, ask.output_tokens)
+        cost = service_cost(plan.prefill_tokens, ask.output_tokens)
         self._charge(ask.workspace, cost)
         return PlacementGrant(
-            ask.key, engine.endpoint, plan.fetch_from, plan.tokens
+            ask.key, engine.endpoint, plan.fetch_from, plan.prefill_tokens
         )
 
-    def overdue(self, now: float) -> list[PlacementRefusal]:
+    def expire(self, now: float) -> list[PlacementRefusal]:
         """Refuses what waits although its caller's time is over."""
         found = [
             waiting.ask
-            for waiting in (*self.waiting.values(), *self.suspended.values())
-            if now >= waiting.ask.give_up_at
+            for waiting in (*self.queued.values(), *self.suspended.values())
+            if now >= waiting.ask.deadline_at
         ]
         for ask in found:
             self.cancel(ask.key)
-        return [PlacementRefusal(a.key, 0.0, now - a.asked_at) for a in found]
+        return [
+            PlacementRefusal(a.key, 0.0, now - a.submitted_at) for a in found
+        ]
--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -22,8 +22,8 @@
         self.profile = profile
         self.rate = rate
         self.engines: dict[str, Engine] = {}
-        self.flights: dict[str, InFlightRequest] = {}
-        self.late: set[str] = set()
+        self.in_flight: dict[str, InFlightRequest] = {}
+        self.lagging_routers: set[str] = set()
 
     def set_engines(self, usable: Iterable[str]) -> None:
         """Says which engines take work now."""
@@ -37,7 +37,7 @@
                 del self.engines[name]
 
     @property
-    def total_rate(self) -> float:
+    def total_prefill_rate(self) -> float:
         """Prompt tokens a millisecond that all usable engines read."""
         return sum(e.rate for e in self.engines.values() if e.is_usable) or 1.0
 
@@ -49,26 +49,28 @@
             return 0.0
         return sum(e.wait_ms for e in usable) / len(usable)
 
-    def first_token(self, key: str, now: float, is_fresh: bool = True) -> None:
+    def record_first_token(
+        self, key: str, now: float, is_timely: bool = True
+    ) -> None:
         """The first token of a request came: its prompt has been read.
 
         Args:
             key: The request.
             now: When the news came.
-            is_fresh: It came without delay, so its time says how fast the
+            is_timely: It came without delay, so its time says how fast the
                 engine reads.
         """
-        flight = self.flights.get(key)
+        flight = self.in_flight.get(key)
         if flight is None or not flight.is_reading:
             return
-        engine = self.engines.get(flight.engine)
+        engine = self.engines.get(flight.endpoint)
         if engine is None:
             flight.is_reading = False
             return
         self._end_overdue(engine, flight, now)
         engine.unread.pop(key, None)
         flight.is_reading = False
-        engine.end_reading(flight.tokens, now, is_fresh)
+        engine.end_reading(flight.prefill_tokens, now, is_timely)
 
     def _end_overdue(
         self, engine: Engine, last: InFlightRequest, now: float
@@ -91,39 +93,42 @@
     ) -> None:
         del engine.unread[key]
         flight.is_reading = False
-        engine.end_reading(flight.tokens, now, False)
+        engine.end_reading(flight.prefill_tokens, now, False)
 
-    def ended(self, key: str) -> None:
+    def finish(self, key: str) -> None:
         """A request is no longer at its engine."""
-        flight = self.flights.pop(key, None)
-        engine = self.engines.get(flight.engine) if flight else None
+        flight = self.in_flight.pop(key, None)
+        engine = self.engines.get(flight.endpoint) if flight else None
         if engine is None:
             return
         engine.unread.pop(key, None)
         engine.running -= 1
-        engine.memory -= flight.memory
+        engine.memory -= flight.memory_tokens
         if flight.is_reading:
-            engine.reading_tokens = max(
-                0.0, engine.reading_tokens - flight.tokens
+            engine.prefill_tokens = max(
+                0.0, engine.prefill_tokens - flight.prefill_tokens
             )
 
-    def set_late(self, router: str, is_late: bool) -> None:
+    def set_lagging(self, router: str, is_lagging: bool) -> None:
         """A router says whether it is short of processor.
 
         One that is sends what it was granted late, and tells late that it
         was read. Engines that are kept for its prompts until then stand
         idle, so for them expected times count instead of news.
         """
-        if is_late:
-            self.late.add(router)
+        if is_lagging:
+            self.lagging_routers.add(router)
         else:
-            self.late.discard(router)
+            self.lagging_routers.discard(router)
 
     def end_expected(self, now: float) -> None:
         """Counts as read what late routers should have had read by now."""
         for engine in self.engines.values():
             for key, flight in list(engine.unread.items()):
-                if flight.router in self.late and now >= flight.read_by:
+                if (
+                    flight.router in self.lagging_routers
+                    and now >= flight.read_by
+                ):
                     self._count_as_read(engine, key, flight, now)
 
     def end_unsent(self, router: str, now: float) -> None:
@@ -137,12 +142,14 @@
         self, engine: Engine, key: str, flight: InFlightRequest
     ) -> None:
         """Counts a request that goes to an engine."""
-        self.flights[key] = flight
+        self.in_flight[key] = flight
         if flight.is_reading:
             engine.unread[key] = flight
         engine.running += 1
-        engine.memory += flight.memory
-        is_timely = flight.router not in self.late
-        engine.begin_reading(flight.tokens, flight.granted_at, is_timely)
+        engine.memory += flight.memory_tokens
+        is_timely = flight.router not in self.lagging_routers
+        engine.begin_reading(
+            flight.prefill_tokens, flight.granted_at, is_timely
+        )
         flight.read_by = flight.granted_at + engine.wait_ms + FIRST_TOKEN_MS
         engine.kept.shrink_to(engine.memory_tokens - engine.memory)
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -37,9 +37,9 @@
         read_by: When its first token is expected.
     """
 
-    engine: str
-    tokens: float
-    memory: float
+    endpoint: str
+    prefill_tokens: float
+    memory_tokens: float
     granted_at: float
     is_reading: bool = True
     router: str = ""
@@ -59,7 +59,7 @@
         self.running = 0
         # In the order of their grants, which is about that of arrival.
         self.unread: dict[str, InFlightRequest] = {}
-        self.reading_tokens = 0.0
+        self.prefill_tokens = 0.0
         self.memory = 0.0
         self.run_began_at = 0.0
         self.run_tokens = 0.0
@@ -69,7 +69,7 @@
     @property
     def wait_ms(self) -> float:
         """How long a new request would wait to be read."""
-        return self.reading_tokens / self.rate
+        return self.prefill_tokens / self.rate
 
     def takes(self, memory: float) -> bool:
         """Whether it should get another request now."""
@@ -95,10 +95,10 @@
             now: When they were granted.
             is_timely: They are sent at once.
         """
-        if self.reading_tokens <= 0:
+        if self.prefill_tokens <= 0:
             self._begin_run(now + FIRST_TOKEN_MS)
         self.run_is_timely = self.run_is_timely and is_timely
-        self.reading_tokens += tokens
+        self.prefill_tokens += tokens
 
     def _begin_run(self, now: float) -> None:
         self.run_began_at = now
@@ -106,7 +106,7 @@
         self.run_is_timely = True
 
     def end_reading(
-        self, tokens: float, now: float, is_fresh: bool = True
+        self, tokens: float, now: float, is_timely: bool = True
     ) -> None:
         """A prompt has been read; learns the rate from the run so far.
 
@@ -119,18 +119,18 @@
         prompt, the way of the news would count once for each, and engines
         that read a prompt in 16 ms would seem three times as fast.
         """
-        self.reading_tokens = max(0.0, self.reading_tokens - tokens)
+        self.prefill_tokens = max(0.0, self.prefill_tokens - tokens)
         self.run_tokens += tokens
-        if not is_fresh:
+        if not is_timely:
             self.run_is_timely = False
             return
         spent = now - self.run_began_at
         if spent < MIN_RUN_MS or self.run_tokens < MIN_RUN_TOKENS:
             return
-        is_timely = self.run_is_timely
+        is_valid = self.run_is_timely
         seen = self.run_tokens / spent
         self._begin_run(now)
-        if is_timely:
+        if is_valid:
             self._learn(seen)
 
     def _learn(self, seen: float) -> None:
--- a/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
@@ -29,20 +29,20 @@
 
     Attributes:
         endpoint: Its id.
-        reading_tokens: Prompt tokens sent there that it has not read yet.
+        prefill_tokens: Prompt tokens sent there that it has not read yet.
         running: Requests sent there that have not ended.
         rate: Prompt tokens that it reads in a millisecond.
     """
 
     endpoint: str
-    reading_tokens: float = 0.0
+    prefill_tokens: float = 0.0
     running: int = 0
     rate: float = 1.0
 
     @property
     def wait_ms(self) -> float:
         """How long a new request would wait before it is read."""
-        return self.reading_tokens / self.rate + STEP_MS_PER_RUN * self.running
+        return self.prefill_tokens / self.rate + STEP_MS_PER_RUN * self.running
 
 
 class Placement(msgspec.Struct, frozen=True):
@@ -51,13 +51,13 @@
     Attributes:
         endpoint: The chosen engine.
         fetch_from: The engine to fetch kept parts from, or "".
-        tokens: Prompt tokens that the engine is expected to read.
+        prefill_tokens: Prompt tokens that the engine is expected to read.
         wait_ms: How long the request is expected to wait there.
     """
 
     endpoint: str
     fetch_from: str = ""
-    tokens: float = 0.0
+    prefill_tokens: float = 0.0
     wait_ms: float = 0.0
 
 
--- a/packages/coordination/src/marjoramyard/coordination/placement/plans.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/plans.py
@@ -31,13 +31,13 @@
     Attributes:
         cost_ms: What it costs everybody, as milliseconds of waiting.
         fetch_from: The engine to fetch kept parts from, or "".
-        tokens: Prompt tokens that the engine would read.
+        prefill_tokens: Prompt tokens that the engine would read.
     """
 
     cost_ms: float
     engine: Engine
     fetch_from: str
-    tokens: float
+    prefill_tokens: float
 
 
 def best_plan(
@@ -79,7 +79,7 @@
 ) -> Plan:
     kept = engine.kept.leading_tokens(ask.parts)
     there = keeper.kept.leading_tokens(ask.parts)
-    alone = max(1.0, ask.tokens - kept)
+    alone = max(1.0, ask.prompt_tokens - kept)
     gain = there - kept
     base = engine.wait_ms + gain * COPY_MS_PER_TOKEN
     if home and engine.endpoint != home:
@@ -88,7 +88,7 @@
     if keeper is engine or gain < FETCH_GAIN_TOKENS:
         return Plan(cost, engine, "", alone)
     moved_ms = FETCH_SETUP_MS + gain * _fetch_ms_per_token(profile)
-    fetched = max(1.0, ask.tokens - there)
+    fetched = max(1.0, ask.prompt_tokens - there)
     fetch_cost = base + moved_ms + fetched / engine.rate
     if not profile.link_mbps or fetch_cost >= cost:
         return Plan(cost, engine, "", alone)
--- a/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
@@ -29,15 +29,17 @@
 
     def push(self, waiting: QueuedRequest, number: int) -> None:
         """Adds a request."""
-        heapq.heappush(self.heap, (waiting.ask.aim_at, number, waiting))
+        heapq.heappush(
+            self.heap, (waiting.ask.first_token_due_at, number, waiting)
+        )
         self.tokens += waiting.cost
 
-    def tokens_before(self, aim_at: float) -> float:
+    def tokens_before(self, first_token_due_at: float) -> float:
         """Returns the tokens of those that are due no later."""
         return sum(
             waiting.cost
             for due, _, waiting in self.heap
-            if due <= aim_at and not waiting.is_gone
+            if due <= first_token_due_at and not waiting.is_gone
         )
 
     def leave(self, waiting: QueuedRequest) -> None:
--- a/packages/coordination/src/marjoramyard/coordination/placement/requests.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/requests.py
@@ -19,10 +19,11 @@
         workspace: Whose share it is served from.
         parts: Its prompt.
         output_tokens: The most that it may generate, or an estimate.
-        aim_at: When its first token is due, in ms of the broker's clock.
-        give_up_at: When its caller stops waiting.
-        asked_at: When it asked.
-        without: Endpoints that must not get it.
+        first_token_due_at: When its first token is due, in ms of the
+            broker's clock.
+        deadline_at: When its caller stops waiting.
+        submitted_at: When it asked.
+        excluded_endpoints: Endpoints that must not get it.
         router: Who asks, and would send it.
     """
 
@@ -30,19 +31,19 @@
     workspace: str
     parts: tuple[PromptPart, ...]
     output_tokens: int
-    aim_at: float
-    give_up_at: float
-    asked_at: float
-    without: frozenset[str] = frozenset()
+    first_token_due_at: float
+    deadline_at: float
+    submitted_at: float
+    excluded_endpoints: frozenset[str] = frozenset()
     router: str = ""
 
     @property
-    def tokens(self) -> int:
+    def prompt_tokens(self) -> int:
         """The whole prompt."""
         return sum(part.tokens for part in self.parts)
 
     @property
-    def own_memory(self) -> float:
+    def own_memory_tokens(self) -> float:
         """What its run takes of an engine's memory beside shared parts."""
         own = self.parts[-1].tokens if self.parts else 0
         return float(own + self.output_tokens)
@@ -54,8 +55,8 @@
     Attributes:
         key: Names it among all routers.
         endpoint: Where it was sent.
-        tokens: Prompt tokens that are still to be read there.
-        memory: What its run takes of the engine's memory.
+        prefill_tokens: Prompt tokens that are still to be read there.
+        memory_tokens: What its run takes of the engine's memory.
         workspace: Whose share it is served from.
         output_tokens: The most that it may generate, or an estimate.
         router: Who sent it.
@@ -63,8 +64,8 @@
 
     key: str
     endpoint: str
-    tokens: float
-    memory: float
+    prefill_tokens: float
+    memory_tokens: float
     workspace: str = ""
     output_tokens: int = 0
     router: str = ""
@@ -84,7 +85,7 @@
     key: str
     endpoint: str
     fetch_from: str
-    tokens: float
+    prefill_tokens: float
 
 
 class PlacementRefusal(msgspec.Struct, frozen=True):
--- a/packages/coordination/tests/placement/engine_simulation.py
+++ b/packages/coordination/tests/placement/engine_simulation.py
@@ -33,9 +33,9 @@
         "workspace": workspace,
         "parts": (*shared, PromptPart(f"own-{key}", tokens)),
         "output_tokens": 50,
-        "aim_at": now + AIM_MS,
-        "give_up_at": now + 5000.0,
-        "asked_at": now,
+        "first_token_due_at": now + AIM_MS,
+        "deadline_at": now + 5000.0,
+        "submitted_at": now,
     }
     return PlacementRequest(**{**fields, **changes})
 
@@ -58,7 +58,7 @@
         for at, ask in arrivals:
             self.run_until(at)
             self.asked[ask.key] = ask
-            refused = self.broker.ask(ask, at)
+            refused = self.broker.submit(ask, at)
             if refused is not None:
                 self.refused[ask.key] = refused
             self.pump()
@@ -69,19 +69,21 @@
             done = min(self.reading)
             self.reading.remove(done)
             self.now, key = done
-            self.first_ms[key] = self.now - self.asked[key].asked_at
-            self.broker.first_token(key, self.now)
-            self.broker.ended(key)
+            self.first_ms[key] = self.now - self.asked[key].submitted_at
+            self.broker.record_first_token(key, self.now)
+            self.broker.finish(key)
             self.pump()
         self.now = end
 
     def pump(self):
-        for told in self.broker.pump(self.now):
+        for told in self.broker.dispatch(self.now):
             if isinstance(told, PlacementRefusal):
                 self.refused[told.key] = told
                 continue
             start = max(self.now, self.free_at[told.endpoint])
-            self.free_at[told.endpoint] = start + told.tokens / self.rate
+            self.free_at[told.endpoint] = (
+                start + told.prefill_tokens / self.rate
+            )
             self.reading.append((self.free_at[told.endpoint], told.key))
 
 
--- a/packages/coordination/tests/placement/test_broker.py
+++ b/packages/coordination/tests/placement/test_broker.py
@@ -79,7 +79,7 @@
     served = dict.fromkeys("abc", 0.0)
     for key in simulation.first_ms:
         ask = simulation.asked[key]
-        served[ask.workspace] += ask.tokens
+        served[ask.workspace] += ask.prompt_tokens
     assert max(served.values()) <= 1.3 * min(served.values())
 
 
@@ -106,12 +106,12 @@
     granted = []
     for number in range(60):
         now = number * 60.0
-        assert broker.ask(make_ask(f"k{number}", now=now), now) is None
-        for told in broker.pump(now):
+        assert broker.submit(make_ask(f"k{number}", now=now), now) is None
+        for told in broker.dispatch(now):
             granted.append(told.endpoint)
             if told.endpoint == "e1":
-                broker.first_token(told.key, now + 55)
-                broker.ended(told.key)
+                broker.record_first_token(told.key, now + 55)
+                broker.finish(told.key)
     assert granted.count("e0") <= AHEAD_MS * RATE / 2000 + 1
     assert granted.count("e1") > 50
 
@@ -121,11 +121,11 @@
     engine = broker.engines["e0"]
     now = 0.0
     for number in range(40):
-        assert broker.ask(make_ask(f"k{number}", now=now), now) is None
-        (told,) = broker.pump(now)
-        now += told.tokens / (RATE / 4) + 12.5
-        broker.first_token(told.key, now)
-        broker.ended(told.key)
+        assert broker.submit(make_ask(f"k{number}", now=now), now) is None
+        (told,) = broker.dispatch(now)
+        now += told.prefill_tokens / (RATE / 4) + 12.5
+        broker.record_first_token(told.key, now)
+        broker.finish(told.key)
     assert RATE / 5 < engine.rate < RATE / 3
 
 
@@ -141,15 +141,15 @@
     broker.set_engines(["e0"])
     free_at, reading, now = 0.0, [], 0.0
     for number in range(200):
-        broker.ask(make_ask(f"k{number}", now=now, tokens=1800), now)
-        for told in broker.pump(now):
+        broker.submit(make_ask(f"k{number}", now=now, tokens=1800), now)
+        for told in broker.dispatch(now):
             start = max(free_at, now + 12.5)
-            free_at = start + told.tokens / rate
+            free_at = start + told.prefill_tokens / rate
             reading.append((free_at, told.key))
         if len(reading) >= 3:
             now, key = reading.pop(0)
-            broker.first_token(key, now)
-            broker.ended(key)
+            broker.record_first_token(key, now)
+            broker.finish(key)
     assert broker.engines["e0"].rate == pytest.approx(rate, rel=0.1)
 
 
@@ -158,20 +158,20 @@
     broker = make_broker(2)
     told = []
     for number in range(3):
-        broker.ask(make_ask(f"k{number}", shared=shared, tokens=2500), 0.0)
-        told += broker.pump(0.0)
-        broker.first_token("k0", 1.0)
+        broker.submit(make_ask(f"k{number}", shared=shared, tokens=2500), 0.0)
+        told += broker.dispatch(0.0)
+        broker.record_first_token("k0", 1.0)
     assert {grant.endpoint for grant in told} == {"e0", "e1"}
     fetches = [grant for grant in told if grant.fetch_from]
     assert fetches
-    assert all(grant.tokens == 2500 for grant in fetches)
+    assert all(grant.prefill_tokens == 2500 for grant in fetches)
 
 
 def test_a_withdrawn_request_takes_no_slot():
     broker = make_broker(1)
-    broker.ask(make_ask("gone"), 0.0)
+    broker.submit(make_ask("gone"), 0.0)
     broker.cancel("gone")
-    assert broker.pump(0.0) == []
+    assert broker.dispatch(0.0) == []
     assert broker.engines["e0"].running == 0
 
 
@@ -183,25 +183,27 @@
     """
     broker = make_broker(1)
     number = 0
-    while broker.ask(make_ask(f"k{number}"), 0.0) is None:
+    while broker.submit(make_ask(f"k{number}"), 0.0) is None:
         number += 1
     assert broker.predicted_wait_ms("w") > 400
-    for key in list(broker.waiting):
+    for key in list(broker.queued):
         broker.cancel(key)
     assert broker.predicted_wait_ms("w") == 0
-    assert broker.ask(make_ask("next"), 0.0) is None
-    (told,) = broker.pump(0.0)
+    assert broker.submit(make_ask("next"), 0.0) is None
+    (told,) = broker.dispatch(0.0)
     assert told.key == "next"
 
 
 def test_running_requests_are_counted_again_after_a_change_of_broker():
     broker = make_broker(1)
-    broker.adopt(
-        UnbrokeredRequest(key="old", endpoint="e0", tokens=3000, memory=3000),
+    broker.add_unbrokered(
+        UnbrokeredRequest(
+            key="old", endpoint="e0", prefill_tokens=3000, memory_tokens=3000
+        ),
         0.0,
     )
     assert broker.engines["e0"].wait_ms == pytest.approx(3000 / RATE)
-    broker.ended("old")
+    broker.finish("old")
     assert broker.engines["e0"].wait_ms == 0
     assert broker.engines["e0"].running == 0
 
@@ -223,24 +225,24 @@
     for what, number, tokens in events:
         now += 20.0
         key = f"k{number}"
-        known = key in broker.flights or key in broker.waiting
+        known = key in broker.in_flight or key in broker.queued
         if what == "ask" and not known:
-            broker.ask(make_ask(key, f"w{number % 3}", now, tokens), now)
+            broker.submit(make_ask(key, f"w{number % 3}", now, tokens), now)
         elif what == "pump":
-            broker.pump(now)
+            broker.dispatch(now)
         elif what == "first":
-            broker.first_token(key, now)
+            broker.record_first_token(key, now)
         elif what == "end":
-            broker.ended(key)
+            broker.finish(key)
         elif what == "cancel":
             broker.cancel(key)
-    for key in list(broker.waiting):
+    for key in list(broker.queued):
         broker.cancel(key)
-    for key in list(broker.flights):
-        broker.ended(key)
+    for key in list(broker.in_flight):
+        broker.finish(key)
     for engine in broker.engines.values():
         assert engine.running == 0
-        assert engine.reading_tokens == pytest.approx(0, abs=1e-6)
+        assert engine.prefill_tokens == pytest.approx(0, abs=1e-6)
         assert engine.memory == pytest.approx(0, abs=1e-6)
 
 
@@ -273,9 +275,9 @@
     engines = [EngineView("e0", rate=RATE), EngineView("e1", rate=RATE)]
     home = place_prompt(parts, engines, 0.0004).endpoint
     busy = next(e for e in engines if e.endpoint == home)
-    busy.reading_tokens = 50 * RATE
+    busy.prefill_tokens = 50 * RATE
     assert place_prompt(parts, engines, 0.0004).endpoint == home
-    busy.reading_tokens = 500 * RATE
+    busy.prefill_tokens = 500 * RATE
     moved = place_prompt(parts, engines, 0.0004)
     assert moved.endpoint != home
     assert moved.fetch_from == home
@@ -283,6 +285,6 @@
 
 def test_a_grant_names_what_is_read():
     broker = make_broker(1)
-    broker.ask(make_ask("k"), 0.0)
-    (told,) = broker.pump(0.0)
+    broker.submit(make_ask("k"), 0.0)
+    (told,) = broker.dispatch(0.0)
     assert told == PlacementGrant("k", "e0", "", 2000)
--- a/packages/coordination/tests/placement/test_broker_delayed_reports.py
+++ b/packages/coordination/tests/placement/test_broker_delayed_reports.py
@@ -17,8 +17,8 @@
 
 
 def grant(broker, key, now, tokens=1800):
-    assert broker.ask(make_ask(key, now=now, tokens=tokens), now) is None
-    told = broker.pump(now)
+    assert broker.submit(make_ask(key, now=now, tokens=tokens), now) is None
+    told = broker.dispatch(now)
     assert [one.key for one in told] == [key]
 
 
@@ -33,12 +33,12 @@
     engine = broker.engines["e0"]
     grant(broker, "held-up", now=0.0)
     grant(broker, "later", now=200.0, tokens=300)
-    broker.first_token("later", 260.0)
+    broker.record_first_token("later", 260.0)
     assert engine.wait_ms == 0
-    broker.first_token("held-up", 1000.0)
-    broker.ended("held-up")
-    broker.ended("later")
-    assert engine.reading_tokens == 0
+    broker.record_first_token("held-up", 1000.0)
+    broker.finish("held-up")
+    broker.finish("later")
+    assert engine.prefill_tokens == 0
     assert engine.running == 0
 
 
@@ -46,7 +46,7 @@
     broker = make_broker(1)
     grant(broker, "first", now=0.0, tokens=900)
     grant(broker, "second", now=20.0, tokens=900)
-    broker.first_token("second", 60.0)
+    broker.record_first_token("second", 60.0)
     assert broker.engines["e0"].wait_ms == pytest.approx(900 / RATE)
 
 
@@ -60,8 +60,8 @@
     for number in range(30):
         now = number * 800.0
         grant(broker, f"k{number}", now)
-        broker.first_token(f"k{number}", now + 750.0, is_fresh=False)
-        broker.ended(f"k{number}")
+        broker.record_first_token(f"k{number}", now + 750.0, is_timely=False)
+        broker.finish(f"k{number}")
     assert engine.rate == pytest.approx(RATE)
     assert engine.wait_ms == 0
 
@@ -71,18 +71,18 @@
     refused, number = None, 0
     while refused is None:
         number += 1
-        refused = broker.ask(make_ask(f"k{number}", now=0.0), 0.0)
-        broker.pump(0.0)
+        refused = broker.submit(make_ask(f"k{number}", now=0.0), 0.0)
+        broker.dispatch(0.0)
     assert 0 < refused.over_ms < 2000 / RATE
 
 
 def ask_from(broker, router, key, now=0.0):
     ask = make_ask(key, now=now, tokens=1800, router=router)
-    assert broker.ask(ask, now) is None
+    assert broker.submit(ask, now) is None
 
 
 def granted(broker, now):
-    return [one.key for one in broker.pump(now)]
+    return [one.key for one in broker.dispatch(now)]
 
 
 def test_prompts_of_a_silent_router_do_not_count_as_being_read():
@@ -98,10 +98,10 @@
     assert granted(broker, 100.0) == []
     broker.suspend("silent", 300.0)
     assert granted(broker, 300.0) == ["k"]
-    broker.first_token("s0", 900.0)
+    broker.record_first_token("s0", 900.0)
     assert engine.wait_ms == pytest.approx(1800 / RATE)
-    broker.ended("s0")
-    broker.ended("s1")
+    broker.finish("s0")
+    broker.finish("s1")
     assert engine.running == 1
 
 
@@ -109,7 +109,7 @@
     broker = make_broker(1)
     for number in range(4):
         ask_from(broker, "silent", f"s{number}")
-    broker.pump(0.0)
+    broker.dispatch(0.0)
     broker.suspend("silent", 300.0)
     assert granted(broker, 300.0) == []
     assert broker.predicted_wait_ms("w") == 0
@@ -123,9 +123,9 @@
     broker = make_broker(1)
     for number in range(3):
         ask_from(broker, "silent", f"s{number}")
-    broker.pump(0.0)
+    broker.dispatch(0.0)
     broker.suspend("silent", 300.0)
-    assert [one.key for one in broker.overdue(5000.0)] == ["s2"]
+    assert [one.key for one in broker.expire(5000.0)] == ["s2"]
     broker.resume("silent")
     assert granted(broker, 5001.0) == []
 
@@ -142,7 +142,7 @@
     broker.suspend("silent", 2.0)
     broker.resume("silent")
     assert sorted(granted(broker, 3.0)) == ["k", "s2"]
-    assert broker.lines["w"].tokens == 0
+    assert broker.queues["w"].tokens == 0
 
 
 def test_prompts_sent_without_a_grant_count_for_their_workspace():
@@ -155,20 +155,20 @@
     assert granted(broker, 0.0) == ["running-0", "running-1"]
     for workspace in ("flood", "small"):
         ask = make_ask(workspace, workspace, now=0.0, tokens=300)
-        assert broker.ask(ask, 0.0) is None
+        assert broker.submit(ask, 0.0) is None
     for number in range(3):
         sent = UnbrokeredRequest(
             key=f"past-{number}",
             endpoint="e0",
-            tokens=300,
-            memory=350,
+            prefill_tokens=300,
+            memory_tokens=350,
             workspace="flood",
             output_tokens=50,
             router="late",
         )
-        broker.adopt(sent, 0.0)
+        broker.add_unbrokered(sent, 0.0)
     broker.suspend("late", 100.0)
-    broker.first_token("running-0", 100.0)
+    broker.record_first_token("running-0", 100.0)
     assert granted(broker, 100.0) == ["small", "flood"]
 
 
@@ -177,7 +177,7 @@
     send what it was granted, and to tell that it was read.
     """
     broker = make_broker(1)
-    broker.set_late("late", True)
+    broker.set_lagging("late", True)
     for number in range(2):
         ask_from(broker, "late", f"l{number}")
     assert granted(broker, 0.0) == ["l0", "l1"]
@@ -200,14 +200,16 @@
     """
     broker = make_broker(1)
     engine = broker.engines["e0"]
-    broker.set_late("late", True)
+    broker.set_lagging("late", True)
     for number in range(40):
         now = number * 200.0
         for router in ("late", "sound"):
             ask_from(broker, router, f"{router}-{number}", now=now)
-        broker.pump(now)
-        broker.first_token(f"sound-{number}", now + 150.0)
-        broker.ended(f"sound-{number}")
-        broker.first_token(f"late-{number}", now + 190.0, is_fresh=False)
-        broker.ended(f"late-{number}")
+        broker.dispatch(now)
+        broker.record_first_token(f"sound-{number}", now + 150.0)
+        broker.finish(f"sound-{number}")
+        broker.record_first_token(
+            f"late-{number}", now + 190.0, is_timely=False
+        )
+        broker.finish(f"late-{number}")
     assert engine.rate == pytest.approx(RATE)
--- a/packages/coordination/tests/placement/test_broker_engine_choice.py
+++ b/packages/coordination/tests/placement/test_broker_engine_choice.py
@@ -22,10 +22,10 @@
 
 def grant(broker, ask, now=0.0):
     """Asks and returns the grant; the request ends at once."""
-    assert broker.ask(ask, now) is None
-    (told,) = broker.pump(now)
-    broker.first_token(ask.key, now)
-    broker.ended(ask.key)
+    assert broker.submit(ask, now) is None
+    (told,) = broker.dispatch(now)
+    broker.record_first_token(ask.key, now)
+    broker.finish(ask.key)
     return told
 
 
@@ -39,17 +39,20 @@
     broker = make_broker(1)
     for number in range(12):
         ask = make_ask(f"long-{number}", tokens=1800)
-        assert not isinstance(broker.ask(ask, 0.0), PlacementRefusal)
-        broker.pump(0.0)
+        assert not isinstance(broker.submit(ask, 0.0), PlacementRefusal)
+        broker.dispatch(0.0)
     assert broker.predicted_wait_ms("w") > 400
-    chat = make_ask("chat", tokens=400, aim_at=400.0)
-    assert broker.ask(chat, 0.0) is None
+    chat = make_ask("chat", tokens=400, first_token_due_at=400.0)
+    assert broker.submit(chat, 0.0) is None
 
 
 def test_a_later_prompt_still_counts_the_urgent_ones_ahead():
     broker = make_broker(1)
     for number in range(12):
-        broker.ask(make_ask(f"chat-{number}", tokens=1500, aim_at=700.0), 0.0)
+        broker.submit(
+            make_ask(f"chat-{number}", tokens=1500, first_token_due_at=700.0),
+            0.0,
+        )
     assert broker.predicted_wait_ms("w", 800.0) > 400
 
 
@@ -62,9 +65,9 @@
     """
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
-    broker.adopt(
+    broker.add_unbrokered(
         UnbrokeredRequest(
-            key="busy", endpoint=home, tokens=50 * RATE, memory=0
+            key="busy", endpoint=home, prefill_tokens=50 * RATE, memory_tokens=0
         ),
         0.0,
     )
@@ -76,9 +79,12 @@
 def test_a_prompt_is_copied_when_its_home_is_too_busy():
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
-    broker.adopt(
+    broker.add_unbrokered(
         UnbrokeredRequest(
-            key="busy", endpoint=home, tokens=200 * RATE, memory=0
+            key="busy",
+            endpoint=home,
+            prefill_tokens=200 * RATE,
+            memory_tokens=0,
         ),
         0.0,
     )
@@ -118,19 +124,19 @@
     """
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
-    broker.adopt(
+    broker.add_unbrokered(
         UnbrokeredRequest(
-            key="busy", endpoint=home, tokens=65 * RATE, memory=0
+            key="busy", endpoint=home, prefill_tokens=65 * RATE, memory_tokens=0
         ),
         0.0,
     )
-    assert broker.ask(make_ask("same-guide", shared=(GUIDE,)), 0.0) is None
-    assert broker.pump(0.0) == []
-    assert broker.ask(make_ask("other", workspace="x"), 0.0) is None
-    (told,) = broker.pump(0.0)
+    assert broker.submit(make_ask("same-guide", shared=(GUIDE,)), 0.0) is None
+    assert broker.dispatch(0.0) == []
+    assert broker.submit(make_ask("other", workspace="x"), 0.0) is None
+    (told,) = broker.dispatch(0.0)
     assert (told.key, told.endpoint != home) == ("other", True)
-    broker.first_token("busy", 1.0)
-    (told,) = broker.pump(1.0)
+    broker.record_first_token("busy", 1.0)
+    (told,) = broker.dispatch(1.0)
     assert (told.key, told.endpoint) == ("same-guide", home)
 
 
@@ -142,8 +148,10 @@
     """
     broker = make_broker(2)
     home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
-    broker.adopt(
-        UnbrokeredRequest(key="long", endpoint=home, tokens=0, memory=230_000),
+    broker.add_unbrokered(
+        UnbrokeredRequest(
+            key="long", endpoint=home, prefill_tokens=0, memory_tokens=230_000
+        ),
         0.0,
     )
     told = grant(broker, make_ask("second", shared=(GUIDE,)))
--- a/packages/coordination/tests/placement/test_broker_retries.py
+++ b/packages/coordination/tests/placement/test_broker_retries.py
@@ -51,7 +51,10 @@
     simulation = Simulation(make_broker(2))
     rush = arrivals_of({"w": (72, 2000)}, 2)
     calm = [
-        (at + 2000.0, make_ask(f"calm-{n}", "w", at + 2000.0, ask.tokens))
+        (
+            at + 2000.0,
+            make_ask(f"calm-{n}", "w", at + 2000.0, ask.prompt_tokens),
+        )
         for n, (at, ask) in enumerate(arrivals_of({"w": (12, 2000)}, 4))
     ]
     returned = play_with_returns(simulation, rush + calm)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_desk.py
@@ -112,11 +112,11 @@
     def _forget(self, peer: Peer) -> None:
         """Its requests have ended: its endpoints' connections are closed."""
         for broker in self.brokers.values():
-            broker.set_late(peer.name, False)
+            broker.set_lagging(peer.name, False)
         for number, service in peer.requests.items():
             broker = self.brokers[service]
             broker.cancel(peer.key(number))
-            broker.ended(peer.key(number))
+            broker.finish(peer.key(number))
         self._schedule_pump()
 
     def _broker(self, service: str) -> Broker | None:
@@ -138,7 +138,7 @@
     def _take(self, peer: Peer, told: ToBroker) -> None:
         if isinstance(told, Beat):
             for broker in self.brokers.values():
-                broker.set_late(peer.name, told.is_late)
+                broker.set_lagging(peer.name, told.is_late)
             return
         if isinstance(told, AskPlace):
             self._ask(peer, told)
@@ -152,20 +152,20 @@
         broker = self.brokers[service]
         key = peer.key(told.number)
         if isinstance(told, FirstToken):
-            broker.first_token(key, _now(), not told.is_late)
+            broker.record_first_token(key, _now(), not told.is_late)
         elif isinstance(told, Withdraw):
             broker.cancel(key)
-            broker.ended(key)
+            broker.finish(key)
             del peer.requests[told.number]
         elif isinstance(told, Ended):
             self._ended(broker, key, told)
             del peer.requests[told.number]
 
     def _ended(self, broker: Broker, key: str, told: Ended) -> None:
-        flight = broker.flights.get(key)
+        flight = broker.in_flight.get(key)
         if flight is not None and told.failed:
-            self.view.health_of(flight.engine).failed(time.monotonic())
-        broker.ended(key)
+            self.view.health_of(flight.endpoint).failed(time.monotonic())
+        broker.finish(key)
 
     def _ask(self, peer: Peer, told: AskPlace) -> None:
         broker = self._broker(told.service)
@@ -178,13 +178,13 @@
             workspace=told.workspace,
             parts=told.prompt(),
             output_tokens=told.output_tokens,
-            aim_at=now + told.due_ms,
-            give_up_at=now + told.left_ms,
-            asked_at=now,
-            without=frozenset(told.without),
+            first_token_due_at=now + told.due_ms,
+            deadline_at=now + told.left_ms,
+            submitted_at=now,
+            excluded_endpoints=frozenset(told.without),
             router=peer.name,
         )
-        refused = broker.ask(ask, now)
+        refused = broker.submit(ask, now)
         if refused is not None:
             self._tell_refusal(peer, told.number, refused)
         else:
@@ -197,13 +197,13 @@
             sent = UnbrokeredRequest(
                 key=peer.key(told.number),
                 endpoint=told.endpoint,
-                tokens=told.tokens,
-                memory=told.memory,
+                prefill_tokens=told.tokens,
+                memory_tokens=told.memory,
                 workspace=told.workspace,
                 output_tokens=told.output_tokens,
                 router=peer.name,
             )
-            broker.adopt(sent, _now())
+            broker.add_unbrokered(sent, _now())
 
     @staticmethod
     def _tell_refusal(
@@ -229,7 +229,7 @@
         for service, broker in self.brokers.items():
             if self._broker(service) is None:
                 continue
-            for told in [*broker.overdue(now), *broker.pump(now)]:
+            for told in [*broker.expire(now), *broker.dispatch(now)]:
                 self._tell(told)
         for peer in self.peers.values():
             self._flush(peer)
@@ -245,7 +245,9 @@
             self._tell_refusal(peer, number, told)
             return
         peer.queue.append(
-            GrantPlace(number, told.endpoint, told.fetch_from, told.tokens)
+            GrantPlace(
+                number, told.endpoint, told.fetch_from, told.prefill_tokens
+            )
         )
 
     @staticmethod
@@ -267,7 +269,7 @@
                         "broker_load",
                         service=service,
                         wait_ms=round(broker.mean_wait_ms),
-                        rate=round(broker.total_rate),
+                        rate=round(broker.total_prefill_rate),
                         suspended=len(broker.suspended),
                         **counts,
                     )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/loads.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/loads.py
@@ -54,11 +54,11 @@
         self.tokens = tokens
         self.on_read: Callable[[], None] | None = None
         engine.running += 1
-        engine.reading_tokens += tokens
+        engine.prefill_tokens += tokens
 
     def read(self) -> None:
         """Its prompt has been read: the first token is there."""
-        self.engine.reading_tokens -= self.tokens
+        self.engine.prefill_tokens -= self.tokens
         self.tokens = 0.0
         if self.on_read is not None:
             self.on_read()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/runs.py
@@ -222,7 +222,7 @@
             by_id[placed.endpoint],
             source.address if source is not None else "",
             self._last_event(),
-            placed.tokens,
+            placed.prefill_tokens,
             number,
         )
 
--- a/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
@@ -48,12 +48,12 @@
             sent = UnbrokeredRequest(
                 key=attempt.key,
                 endpoint=attempt.engine.name,
-                tokens=attempt.run.unread,
-                memory=attempt.run.own_tokens,
+                prefill_tokens=attempt.run.unread,
+                memory_tokens=attempt.run.own_tokens,
                 workspace=attempt.record.request.workspace,
                 output_tokens=attempt.record.request.most_tokens,
             )
-            simulation.policy.adopt(sent, simulation.loop.now)
+            simulation.policy.add_unbrokered(sent, simulation.loop.now)
     for attempt in open_ones:
         if attempt.run is None:
             simulation.ask(attempt)
--- a/packages/standin/src/marjoramyard/standin/experiment/policies.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/policies.py
@@ -29,25 +29,27 @@
     def set_engines(self, usable) -> None:
         """Says which engines take work now."""
 
-    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
+    def submit(
+        self, ask: PlacementRequest, now: float
+    ) -> PlacementRefusal | None:
         """Takes in a request."""
 
-    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
+    def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Decides what may be decided now."""
 
-    def first_token(self, key: str, now: float) -> None:
+    def record_first_token(self, key: str, now: float) -> None:
         """The first event of a request came."""
 
-    def ended(self, key: str) -> None:
+    def finish(self, key: str) -> None:
         """A request is no longer at its engine."""
 
     def cancel(self, key: str) -> None:
         """The caller of a waiting request has left."""
 
-    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
+    def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that was sent under another broker."""
 
-    def overdue(self, now: float) -> list[PlacementRefusal]:
+    def expire(self, now: float) -> list[PlacementRefusal]:
         """Refuses what waits although its caller's time is over."""
 
 
@@ -80,7 +82,7 @@
         self.rng = rng
         self.engines: list[str] = []
         self.running: dict[str, int] = {}
-        self.flights: dict[str, str] = {}
+        self.in_flight: dict[str, str] = {}
         self.granted: list[PlacementGrant] = []
 
     def choose(self, ask: PlacementRequest) -> str:
@@ -91,40 +93,44 @@
         """Says which engines take work now."""
         self.engines = sorted(usable)
 
-    def ask(self, ask: PlacementRequest, now: float) -> PlacementRefusal | None:
+    def submit(
+        self, ask: PlacementRequest, now: float
+    ) -> PlacementRefusal | None:
         """Grants at once."""
         if not self.engines:
             return PlacementRefusal(ask.key, 400.0, 0.0)
         engine = self.choose(ask)
-        self.flights[ask.key] = engine
+        self.in_flight[ask.key] = engine
         self.running[engine] = self.running.get(engine, 0) + 1
-        self.granted.append(PlacementGrant(ask.key, engine, "", ask.tokens))
+        self.granted.append(
+            PlacementGrant(ask.key, engine, "", ask.prompt_tokens)
+        )
         return None
 
-    def pump(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
+    def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
         """Returns what was granted."""
         granted, self.granted = self.granted, []
         return granted
 
-    def first_token(self, key: str, now: float) -> None:
+    def record_first_token(self, key: str, now: float) -> None:
         """Is of no use here."""
 
-    def ended(self, key: str) -> None:
+    def finish(self, key: str) -> None:
         """Counts an end."""
-        engine = self.flights.pop(key, None)
+        engine = self.in_flight.pop(key, None)
         if engine is not None:
             self.running[engine] -= 1
 
     def cancel(self, key: str) -> None:
         """Nothing waits here."""
 
-    def adopt(self, sent: UnbrokeredRequest, now: float) -> None:
+    def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
         """Counts a request that was sent under another broker."""
-        self.flights[sent.key] = sent.endpoint
+        self.in_flight[sent.key] = sent.endpoint
         running = self.running.get(sent.endpoint, 0)
         self.running[sent.endpoint] = running + 1
 
-    def overdue(self, now: float) -> list[PlacementRefusal]:
+    def expire(self, now: float) -> list[PlacementRefusal]:
         """Nothing waits here."""
         return []
 
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation.py
@@ -132,7 +132,7 @@
 
     def ask(self, attempt: Attempt) -> None:
         """Asks the policy for a place."""
-        refused = self.policy.ask(self._to_ask(attempt), self.loop.now)
+        refused = self.policy.submit(self._to_ask(attempt), self.loop.now)
         if refused is not None:
             self._tell_refusal(attempt, refused)
         self.pump()
@@ -146,18 +146,18 @@
             workspace=request.workspace,
             parts=request.parts,
             output_tokens=request.most_tokens,
-            aim_at=arrived + kind.objective_ms,
-            give_up_at=request.at + kind.deadline_ms,
-            asked_at=self.loop.now,
+            first_token_due_at=arrived + kind.objective_ms,
+            deadline_at=request.at + kind.deadline_ms,
+            submitted_at=self.loop.now,
         )
 
     def pump(self) -> None:
         """Carries out what the policy decides now."""
         now = self.loop.now
-        for told in [*self.policy.overdue(now), *self.policy.pump(now)]:
+        for told in [*self.policy.expire(now), *self.policy.dispatch(now)]:
             attempt = self.attempts.get(told.key)
             if attempt is None or attempt.is_over:
-                self.policy.ended(told.key)
+                self.policy.finish(told.key)
             elif isinstance(told, PlacementRefusal):
                 self._tell_refusal(attempt, told)
             else:
@@ -251,7 +251,7 @@
 
     def _first_token(self, attempt: Attempt) -> None:
         if not attempt.is_over:
-            self.policy.first_token(attempt.key, self.loop.now)
+            self.policy.record_first_token(attempt.key, self.loop.now)
             self.pump()
 
     def _on_end(self, run: ModelRun, now: float) -> None:
@@ -274,7 +274,7 @@
 
     def _tell_end(self, attempt: Attempt) -> None:
         self.attempts.pop(attempt.key, None)
-        self.policy.ended(attempt.key)
+        self.policy.finish(attempt.key)
         self.pump()
 
 
--- a/packages/standin/tests/experiment/test_experiment.py
+++ b/packages/standin/tests/experiment/test_experiment.py
@@ -54,7 +54,7 @@
     simulation = Simulation(short, "broker", 1)
     played = simulation.play()
     assert simulation.attempts == {}
-    assert simulation.policy.flights == {}
+    assert simulation.policy.in_flight == {}
     assert {record.outcome for record in played.records} >= {
         Outcome.ON_TIME,
         Outcome.REFUSED,
