--- a/packages/coordination/src/marjoramyard/coordination/placement/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Predicts what a request costs on each endpoint, and chooses one."""
+"""Placement of prompts on inference engines, with and without a broker."""
--- a/packages/coordination/src/marjoramyard/coordination/placement/broker.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker.py
@@ -1,24 +1,23 @@
-"""Decides for a whole service who runs next, where, and who is refused.
-
-Routers that choose by themselves all run to the engine that looked idle in
-news that is a moment old, and each gives a workspace its own idea of a fair
-share. One broker for a service sees every request and every end of one, so
-its picture is exact. It is soft state: if it is lost, routers go on with
-their own estimates, and its successor rebuilds the picture from them.
-
-The pattern that it answers: more prompts arrive than engines read. Then an
-engine's own queue, which is first come first served, makes every answer
-late; late answers are worth a third and the engine is busy with them while
-fresh requests grow late too. So work waits here, where it can be chosen:
-engines hold just enough to stay busy, workspaces get turns by what they have
-been served, and a request that can't be on time is refused when it arrives.
+"""Admission control and scheduling of one service's requests.
+
+A broker receives the requests of all routers and learns when each of them
+ends, so it knows the load of every engine, which routers on their own could
+only estimate. Its state is not stored: if a broker is lost, routers place
+requests by their own estimates, and report what is in flight to its
+successor.
+
+An engine serves its own queue first come, first served, so under overload
+all of its responses would be late. The broker therefore queues requests
+itself. Engines get only as much as keeps them busy, workspaces are served by
+fair queueing, and requests that can't meet their objective are refused on
+arrival.
 """
 
 import math
 
 from marjoramyard.coordination.placement.engine_pool import EnginePool
 from marjoramyard.coordination.placement.engines import (
-    FIRST_TOKEN_MS,
+    FIRST_TOKEN_LATENCY_MS,
     InFlightRequest,
 )
 from marjoramyard.coordination.placement.plans import best_plan
@@ -36,84 +35,105 @@
 )
 from marjoramyard.coordination.routing.config import EngineProfile
 
-UNFIT_MARGIN = 0.8
-"""A request is refused if its predicted wait takes more than this part of
-the time that reading leaves of its objective. In a rush the lines stand just
-at this mark, so an error of the prediction makes everything late."""
-LARGE_SLACK_MS = 300.0
-"""A prompt that takes longer than its objective to read can't be on time
-anywhere. It may wait this long instead, or the largest would never run."""
+MAX_WAIT_FRACTION = 0.8
+"""Fraction of the time available for waiting that the predicted wait may
+take. The rest covers errors of the prediction: under overload, waits are
+close to the limit."""
+LARGE_PROMPT_SLACK_MS = 300.0
+"""Time that a prompt may wait whose prefill alone exceeds its objective. With
+no such time, the largest prompts would always be refused."""
 MAX_DEFERRED = 4
-"""How many requests a round may leave waiting for their engine before it
-ends; each costs a look at all engines. Others behind them wait for the next
-end of a prompt, some ms later."""
+"""The maximum number of requests deferred in one round of dispatching. Each
+of them costs an evaluation of all engines."""
 
 
 class Broker(EnginePool):
-    """The queue of one service. Times are milliseconds of one clock."""
+    """Queues, admits and places the requests of one service.
+
+    All times are in ms of one clock.
+
+    Attributes:
+        queues: The queued requests of each workspace.
+        virtual_time: The service that each workspace has received, in
+            prefill tokens, raised to that of the others when it was idle.
+        queued: All queued requests, by key.
+        suspended: Queued requests of unresponsive routers, by key. They are
+            in no queue.
+        counter: Sequence number of the last queued request.
+    """
 
     def __init__(self, profile: EngineProfile, rate: float):
         super().__init__(profile, rate)
         self.queues: dict[str, RequestQueue] = {}
         self.virtual_time: dict[str, float] = {}
         self.queued: dict[str, QueuedRequest] = {}
-        # What silent routers have asked for, by key.
         self.suspended: dict[str, QueuedRequest] = {}
         self.counter = 0
 
     def counts(self) -> dict[str, int]:
-        """Returns how many requests wait, are being read, and run."""
-        reading = sum(1 for f in self.in_flight.values() if f.is_reading)
+        """Returns the number of requests in each state.
+
+        The states are `waiting` (queued), `reading` (sent, prompt not
+        prefilled yet) and `running`.
+        """
+        prefilling = sum(1 for r in self.in_flight.values() if r.is_prefilling)
         return {
             "waiting": len(self.queued),
-            "reading": reading,
-            "running": len(self.in_flight) - reading,
+            "reading": prefilling,
+            "running": len(self.in_flight) - prefilling,
         }
 
     # Requests.
 
     def submit(
-        self, ask: PlacementRequest, now: float
+        self, request: PlacementRequest, now: float
     ) -> PlacementRefusal | None:
-        """Takes in a request; it is refused at once if it would be late."""
-        waiting = QueuedRequest(ask, self._cost(ask))
-        late = self._predict_late(waiting, now)
-        if late is not None:
-            return late
-        self._enter_line(waiting)
+        """Queues a request, or refuses it if it would miss its objective.
+
+        Returns:
+            The refusal, or None if the request was queued. The result of a
+            queued request is returned by `dispatch` or `expire`.
+        """
+        queued = QueuedRequest(request, self._cost(request))
+        refused = self._refuse_if_late(queued, now)
+        if refused is not None:
+            return refused
+        self._enqueue_new(queued)
         return None
 
-    def _enter_line(self, waiting: QueuedRequest) -> None:
-        workspace = waiting.ask.workspace
-        line = self.queues.setdefault(workspace, RequestQueue())
-        if not line.heap:
-            self._level_up(workspace)
-        self._queue(waiting)
+    def _enqueue_new(self, queued: QueuedRequest) -> None:
+        workspace = queued.request.workspace
+        queue = self.queues.setdefault(workspace, RequestQueue())
+        if not queue.heap:
+            self._raise_virtual_time(workspace)
+        self._enqueue(queued)
 
-    def _queue(self, waiting: QueuedRequest) -> None:
-        self._leave(waiting.ask.key)
-        waiting.is_gone = False
+    def _enqueue(self, queued: QueuedRequest) -> None:
+        self._dequeue(queued.request.key)
+        queued.is_removed = False
         self.counter += 1
-        self.queues[waiting.ask.workspace].push(waiting, self.counter)
-        self.queued[waiting.ask.key] = waiting
+        self.queues[queued.request.workspace].push(queued, self.counter)
+        self.queued[queued.request.key] = queued
 
-    def _cost(self, ask: PlacementRequest) -> float:
-        """Returns the tokens that a request is likely to have read."""
-        best = 0
+    def _cost(self, request: PlacementRequest) -> float:
+        """Returns the prompt tokens that are likely to be prefilled."""
+        cached = 0
         for engine in self.engines.values():
-            best = max(best, engine.kept.leading_tokens(ask.parts))
-        return max(1.0, ask.prompt_tokens - best)
+            cached = max(
+                cached, engine.prefix_cache.leading_tokens(request.parts)
+            )
+        return max(1.0, request.prompt_tokens - cached)
 
-    def _level_up(self, workspace: str) -> None:
-        """Lets a workspace that was idle start at the least served one.
+    def _raise_virtual_time(self, workspace: str) -> None:
+        """Raises the virtual time of an idle workspace to that of the others.
 
-        It keeps no claim on what it did not use: it could take every slot
-        from the others until it had caught up.
+        A workspace can't save up service while it is idle; else it would
+        block the others until it has caught up.
         """
         active = [
             self.virtual_time.get(name, 0.0)
-            for name, line in self.queues.items()
-            if line.heap
+            for name, queue in self.queues.items()
+            if queue.heap
         ]
         floor = min(
             active, default=max(self.virtual_time.values(), default=0.0)
@@ -125,117 +145,137 @@
     def predicted_wait_ms(
         self, workspace: str, first_token_due_at: float = math.inf
     ) -> float:
-        """Returns how long a request of a workspace would wait here.
+        """Returns the predicted wait of a new request until its prefill.
+
+        Ahead of it are the requests of its own workspace that are due no
+        later, and those that other workspaces are served before their
+        virtual time reaches that of the new request.
 
-        Lines are served by level, so another workspace goes first just as
-        far as its level stays below the one that ours would have reached.
-        Within a line the most urgent goes first, so only what is due before
-        ours is ahead of it; a chat that is due in 400 ms would be refused
-        for the sake of long prompts that it passes.
+        Args:
+            workspace: The workspace of the request.
+            first_token_due_at: When the first token of the request is due.
+
+        Returns:
+            The wait in ms; 0.0 if no engine is usable.
         """
         own = self.queues.get(workspace)
-        level = self.virtual_time.get(workspace, 0.0)
-        reached = level + (
+        start = self.virtual_time.get(workspace, 0.0)
+        reached = start + (
             own.tokens_before(first_token_due_at) if own else 0.0
         )
         ahead = 0.0
-        for name, line in self.queues.items():
-            if not line.heap:
+        for name, queue in self.queues.items():
+            if not queue.heap:
                 continue
-            if line is own:
-                ahead += reached - level
+            if queue is own:
+                ahead += reached - start
                 continue
             gap = reached - self.virtual_time.get(name, 0.0)
-            ahead += min(max(gap, 0.0), line.tokens)
+            ahead += min(max(gap, 0.0), queue.tokens)
         if not any(e.is_usable for e in self.engines.values()):
             return 0.0
         return self.mean_wait_ms + ahead / self.total_prefill_rate
 
-    def _read_ms(self, waiting: QueuedRequest) -> float:
+    def _prefill_ms(self, queued: QueuedRequest) -> float:
         count = sum(1 for e in self.engines.values() if e.is_usable) or 1
-        return waiting.cost / (self.total_prefill_rate / count)
+        return queued.cost / (self.total_prefill_rate / count)
 
-    def _due_at(self, waiting: QueuedRequest) -> float:
+    def _due_at(self, queued: QueuedRequest) -> float:
         """Returns when the first token is due.
 
-        A prompt that takes longer to read than its objective allows gets
-        the time that it needs.
+        A prompt whose prefill alone exceeds its objective gets the time that
+        it needs, and some slack.
         """
-        ask = waiting.ask
-        needs = self._read_ms(waiting) + FIRST_TOKEN_MS + LARGE_SLACK_MS
-        return max(ask.first_token_due_at, ask.submitted_at + needs)
+        request = queued.request
+        needed_ms = (
+            self._prefill_ms(queued)
+            + FIRST_TOKEN_LATENCY_MS
+            + LARGE_PROMPT_SLACK_MS
+        )
+        return max(request.first_token_due_at, request.submitted_at + needed_ms)
 
-    def _predict_late(
-        self, waiting: QueuedRequest, now: float
+    def _refuse_if_late(
+        self, queued: QueuedRequest, now: float
     ) -> PlacementRefusal | None:
         if not any(e.is_usable for e in self.engines.values()):
             return None
-        ask = waiting.ask
-        wait_ms = self.predicted_wait_ms(ask.workspace, ask.first_token_due_at)
-        first_ms = wait_ms + self._read_ms(waiting) + FIRST_TOKEN_MS
-        slack_ms = self._due_at(waiting) - now - self._read_ms(waiting)
-        over_ms = wait_ms + FIRST_TOKEN_MS - slack_ms * UNFIT_MARGIN
+        request = queued.request
+        wait_ms = self.predicted_wait_ms(
+            request.workspace, request.first_token_due_at
+        )
+        first_token_ms = (
+            wait_ms + self._prefill_ms(queued) + FIRST_TOKEN_LATENCY_MS
+        )
+        slack_ms = self._due_at(queued) - now - self._prefill_ms(queued)
+        over_ms = (
+            wait_ms + FIRST_TOKEN_LATENCY_MS - slack_ms * MAX_WAIT_FRACTION
+        )
         if over_ms <= 0:
             return None
-        return refusal(ask.key, wait_ms, first_ms, over_ms)
+        return refusal(request.key, wait_ms, first_token_ms, over_ms)
 
-    def _is_late(self, waiting: QueuedRequest, now: float) -> bool:
+    def _is_late(self, queued: QueuedRequest, now: float) -> bool:
+        """Returns whether even the least loaded engine would be too late."""
         least = min(e.wait_ms for e in self.engines.values() if e.is_usable)
-        first_at = now + least + self._read_ms(waiting) + FIRST_TOKEN_MS
-        return first_at > self._due_at(waiting)
+        first_token_at = (
+            now + least + self._prefill_ms(queued) + FIRST_TOKEN_LATENCY_MS
+        )
+        return first_token_at > self._due_at(queued)
 
     def cancel(self, key: str) -> None:
-        """The caller of a waiting request has left."""
+        """Removes a queued request whose caller has disconnected.
+
+        Unknown requests are ignored.
+        """
         self.suspended.pop(key, None)
-        self._leave(key)
+        self._dequeue(key)
 
     def suspend(self, router: str, now: float) -> None:
-        """A router has been silent for some time.
+        """Sets the requests of an unresponsive router aside.
 
-        What it was granted may not have been sent, and what it is granted
-        now would not be sent soon. Engines that are kept for it stand idle,
-        and others are refused for the sake of prompts that nobody reads. So
-        its prompts don't count as being read, and its requests wait outside
-        of the lines until it is heard again.
+        The router may not have sent the requests that it was granted, and
+        would not send further ones soon. Its prompts in flight count as
+        prefilled, so that engines don't idle, and its queued requests leave
+        their queues until `resume`.
         """
-        self.end_unsent(router, now)
-        for key, waiting in list(self.queued.items()):
-            if waiting.ask.router == router:
-                self._leave(key)
-                self.suspended[key] = waiting
+        self.finish_prefills_of(router, now)
+        for key, queued in list(self.queued.items()):
+            if queued.request.router == router:
+                self._dequeue(key)
+                self.suspended[key] = queued
 
     def resume(self, router: str) -> None:
-        """A router is heard again."""
-        for key, waiting in list(self.suspended.items()):
-            if waiting.ask.router == router:
+        """Queues the requests of a router that responds again."""
+        for key, queued in list(self.suspended.items()):
+            if queued.request.router == router:
                 del self.suspended[key]
-                # Its old entry may still be in the line's heap, as gone.
-                self._enter_line(QueuedRequest(waiting.ask, waiting.cost))
+                # The removed entry may still be in the queue's heap.
+                self._enqueue_new(QueuedRequest(queued.request, queued.cost))
 
-    def _leave(self, key: str) -> None:
-        waiting = self.queued.pop(key, None)
-        if waiting is not None:
-            self.queues[waiting.ask.workspace].leave(waiting)
+    def _dequeue(self, key: str) -> None:
+        queued = self.queued.pop(key, None)
+        if queued is not None:
+            self.queues[queued.request.workspace].remove(queued)
 
     def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
-        """Counts a request that a router sent without a grant.
+        """Adds a request that a router sent without a grant.
 
-        It takes of its workspace's share like any other, or a workspace
-        would be ahead of the others by what went past the line.
+        Its workspace is charged as for a granted request. A request that is
+        known already or is at an unknown engine is ignored.
         """
         engine = self.engines.get(sent.endpoint)
         if engine is None or sent.key in self.in_flight:
             return
-        is_reading = sent.prefill_tokens > 0
-        flight = InFlightRequest(
+        is_prefilling = sent.prefill_tokens > 0
+        in_flight = InFlightRequest(
             sent.endpoint,
             sent.prefill_tokens,
             sent.memory_tokens,
             now,
-            is_reading,
+            is_prefilling,
             sent.router,
         )
-        self.add_flight(engine, sent.key, flight)
+        self.add_in_flight(engine, sent.key, in_flight)
         cost = service_cost(sent.prefill_tokens, sent.output_tokens)
         self._charge(sent.workspace, cost)
 
@@ -247,91 +287,103 @@
     # Grants.
 
     def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
-        """Grants as many requests as engines should get now.
+        """Grants queued requests to engines that accept more work.
+
+        A request that can no longer meet its objective is refused if others
+        are queued, and so is one whose deadline has passed.
 
-        A request that waited until it can't be on time any more, though it
-        was predicted to be, gives way: while others wait it is refused.
+        Returns:
+            The grants and refusals, in order of service.
         """
         if self.lagging_routers:
-            self.end_expected(now)
-        told: list[PlacementGrant | PlacementRefusal] = []
+            self.finish_expected_prefills(now)
+        results: list[PlacementGrant | PlacementRefusal] = []
         deferred: list[QueuedRequest] = []
         while len(deferred) < MAX_DEFERRED and any(
-            e.takes(0.0) for e in self.engines.values()
+            e.accepts(0.0) for e in self.engines.values()
         ):
-            waiting = self._next()
-            if waiting is None:
+            queued = self._pop_next()
+            if queued is None:
                 break
-            ask = waiting.ask
-            crowded = bool(self.queued)
-            if now >= ask.deadline_at or (
-                crowded and self._is_late(waiting, now)
+            request = queued.request
+            others_queued = bool(self.queued)
+            if now >= request.deadline_at or (
+                others_queued and self._is_late(queued, now)
             ):
-                wait_ms = self.predicted_wait_ms(ask.workspace)
-                told.append(refusal(ask.key, wait_ms, now - ask.submitted_at))
+                wait_ms = self.predicted_wait_ms(request.workspace)
+                results.append(
+                    refusal(request.key, wait_ms, now - request.submitted_at)
+                )
                 continue
-            granted = self._place(ask, now)
-            if granted is None:
-                deferred.append(waiting)
+            grant = self._place(request, now)
+            if grant is None:
+                deferred.append(queued)
             else:
-                told.append(granted)
-        for waiting in deferred:
-            self._queue(waiting)
-        return told
-
-    def _next(self) -> QueuedRequest | None:
-        """Takes the most urgent request of the least served workspace."""
-        names = [name for name, line in self.queues.items() if line.heap]
+                results.append(grant)
+        for queued in deferred:
+            self._enqueue(queued)
+        return results
+
+    def _pop_next(self) -> QueuedRequest | None:
+        """Removes the first request of the workspace with least service."""
+        names = [name for name, queue in self.queues.items() if queue.heap]
         if not names:
             return None
         name = min(names, key=lambda n: self.virtual_time.get(n, 0.0))
-        waiting = self.queues[name].pop()
-        del self.queued[waiting.ask.key]
-        return waiting
+        queued = self.queues[name].pop()
+        del self.queued[queued.request.key]
+        return queued
 
     def _place(
-        self, ask: PlacementRequest, now: float
+        self, request: PlacementRequest, now: float
     ) -> PlacementGrant | None:
-        """Grants the engine where the request costs least.
+        """Grants the engine with the lowest cost.
 
-        None if that engine has enough to read for now: the request waits
-        for it, at most as long as a copy of its parts elsewhere would cost,
-        and others go to the engines that are free.
+        Returns:
+            The grant, or None if no engine has capacity or if the cheapest
+            one has enough prompts to prefill for now. In this case waiting
+            for it costs less than going elsewhere.
         """
         usable = [
             engine
             for engine in self.engines.values()
             if engine.is_usable
-            and engine.endpoint not in ask.excluded_endpoints
+            and engine.endpoint not in request.excluded_endpoints
         ]
-        memory = ask.own_memory_tokens
-        roomy = [engine for engine in usable if engine.has_room(memory)]
-        if not roomy:
+        memory_tokens = request.own_memory_tokens
+        available = [
+            engine for engine in usable if engine.has_capacity(memory_tokens)
+        ]
+        if not available:
             return None
-        plan = best_plan(ask, usable, roomy, self.profile)
+        plan = best_plan(request, usable, available, self.profile)
         engine = plan.engine
-        if not engine.takes(memory):
+        if not engine.accepts(memory_tokens):
             return None
-        flight = InFlightRequest(
-            engine.endpoint, plan.prefill_tokens, memory, now, router=ask.router
+        in_flight = InFlightRequest(
+            engine.endpoint,
+            plan.prefill_tokens,
+            memory_tokens,
+            now,
+            router=request.router,
         )
-        self.add_flight(engine, ask.key, flight)
-        engine.kept.read(ask.parts)
-        cost = service_cost(plan.prefill_tokens, ask.output_tokens)
-        self._charge(ask.workspace, cost)
+        self.add_in_flight(engine, request.key, in_flight)
+        engine.prefix_cache.add(request.parts)
+        cost = service_cost(plan.prefill_tokens, request.output_tokens)
+        self._charge(request.workspace, cost)
         return PlacementGrant(
-            ask.key, engine.endpoint, plan.fetch_from, plan.prefill_tokens
+            request.key, engine.endpoint, plan.fetch_from, plan.prefill_tokens
         )
 
     def expire(self, now: float) -> list[PlacementRefusal]:
-        """Refuses what waits although its caller's time is over."""
-        found = [
-            waiting.ask
-            for waiting in (*self.queued.values(), *self.suspended.values())
-            if now >= waiting.ask.deadline_at
+        """Removes and refuses queued requests whose deadline has passed."""
+        expired = [
+            queued.request
+            for queued in (*self.queued.values(), *self.suspended.values())
+            if now >= queued.request.deadline_at
         ]
-        for ask in found:
-            self.cancel(ask.key)
+        for request in expired:
+            self.cancel(request.key)
         return [
-            PlacementRefusal(a.key, 0.0, now - a.submitted_at) for a in found
+            PlacementRefusal(r.key, 0.0, now - r.submitted_at) for r in expired
         ]
--- a/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
@@ -1,24 +1,24 @@
-"""Chooses the routers that may broker, and stays with its choice."""
+"""Selection of the routers that act as brokers."""
 
 from collections.abc import Iterable
 
 import msgspec
 
 MAX_BROKERS = 4
-"""One for each service with model engines is needed, and a successor."""
-BETTER_CAPACITY = 1.5
-"""A broker gives way only to one with so much more processor. Its successor
-knows nothing of what engines keep, and routers place by their own estimates
-until it answers."""
+"""The maximum number of routers to select, successors included."""
+MIN_CAPACITY_RATIO = 1.5
+"""How much more capacity a candidate needs to replace a selected broker. A
+new broker starts without knowledge of the engines' caches, and until it
+responds, routers place requests by their own estimates."""
 
 
 class BrokerCandidate(msgspec.Struct, frozen=True):
-    """A router that could broker.
+    """A router that can act as a broker.
 
     Attributes:
-        name: Its host.
+        name: The router's host.
         address: Where other routers reach it.
-        capacity: The processor it has to spare, in cores.
+        capacity: Its spare processor capacity, in cores.
     """
 
     name: str
@@ -27,37 +27,47 @@
 
 
 class BrokerSelector:
-    """The brokers named last, in an order that stays while they are able.
+    """Selects brokers, and keeps their order as long as they are candidates.
 
-    After a restart of the whole fleet routers come in one by one. Ordered
-    by name alone, each newcomer would take the first place from the one
-    before it, and all routers would change their broker each time.
+    Without a memory of the last selection, routers that join one by one
+    after a restart could each become the first broker in turn.
+
+    Attributes:
+        selected: The last selection, first broker first.
     """
 
     def __init__(self):
-        self.named: list[BrokerCandidate] = []
+        self.selected: list[BrokerCandidate] = []
 
-    def choose(self, able: Iterable[BrokerCandidate]) -> list[str]:
-        """Returns addresses, the one that should broker first."""
+    def choose(self, candidates: Iterable[BrokerCandidate]) -> list[str]:
+        """Returns the addresses of the selected brokers, first broker first.
+
+        Previously selected routers that are no longer candidates are
+        dropped.
+        """
         by_address = {
             candidate.address: candidate
-            for candidate in sorted(able, key=lambda c: (-c.capacity, c.name))
+            for candidate in sorted(
+                candidates, key=lambda c: (-c.capacity, c.name)
+            )
         }
         kept = [
-            by_address[held.address]
-            for held in self.named
-            if held.address in by_address
+            by_address[previous.address]
+            for previous in self.selected
+            if previous.address in by_address
         ]
         rest = [c for c in by_address.values() if c not in kept]
-        self.named = self._with_better(kept, rest)[:MAX_BROKERS]
-        return [candidate.address for candidate in self.named]
+        self.selected = self._merge(kept, rest)[:MAX_BROKERS]
+        return [candidate.address for candidate in self.selected]
 
     @staticmethod
-    def _with_better(
+    def _merge(
         kept: list[BrokerCandidate], rest: list[BrokerCandidate]
     ) -> list[BrokerCandidate]:
-        """Puts much better candidates before the kept ones, others behind."""
+        """Puts much larger candidates before the kept ones, others behind."""
         least = min((c.capacity for c in kept), default=0.0)
-        better = [c for c in rest if c.capacity >= BETTER_CAPACITY * least > 0]
-        others = [c for c in rest if c not in better]
-        return [*better, *kept, *others]
+        larger = [
+            c for c in rest if c.capacity >= MIN_CAPACITY_RATIO * least > 0
+        ]
+        others = [c for c in rest if c not in larger]
+        return [*larger, *kept, *others]
--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -1,22 +1,31 @@
-"""What is at the engines of a service, by the word of many routers."""
+"""The engines of one service and their requests in flight."""
 
 from collections.abc import Iterable
 
 from marjoramyard.coordination.placement.engines import (
-    FIRST_TOKEN_MS,
+    FIRST_TOKEN_LATENCY_MS,
     Engine,
     InFlightRequest,
 )
 from marjoramyard.coordination.routing.config import EngineProfile
 
-OVERDUE_MS = 150.0
-"""How much later than an earlier prompt one must have been granted for its
-first token to show that the earlier one was read too. A router that needs
-longer to send is short of processor."""
+ORDER_TOLERANCE_MS = 150.0
+"""Prompts granted further apart than this are prefilled in order. Closer
+ones may reach the engine in any order."""
 
 
 class EnginePool:
-    """The engines of a service and the requests at them."""
+    """The engines of one service and their requests in flight.
+
+    All times are in ms of one clock.
+
+    Attributes:
+        profile: The properties shared by all engines.
+        rate: The configured prefill rate of an engine, in tokens per ms.
+        engines: The engines, by endpoint.
+        in_flight: Requests that engines have, by key.
+        lagging_routers: Routers that send requests and reports with delay.
+    """
 
     def __init__(self, profile: EngineProfile, rate: float):
         self.profile = profile
@@ -26,7 +35,10 @@
         self.lagging_routers: set[str] = set()
 
     def set_engines(self, usable: Iterable[str]) -> None:
-        """Says which engines take work now."""
+        """Sets the endpoints that may get new requests.
+
+        Others are removed once they have no request in flight.
+        """
         names = set(usable)
         for name in names:
             if name not in self.engines:
@@ -38,12 +50,18 @@
 
     @property
     def total_prefill_rate(self) -> float:
-        """Prompt tokens a millisecond that all usable engines read."""
+        """The prefill rate of all usable engines together, in tokens per ms.
+
+        1.0 if there are none.
+        """
         return sum(e.rate for e in self.engines.values() if e.is_usable) or 1.0
 
     @property
     def mean_wait_ms(self) -> float:
-        """How long a prompt would wait at a usable engine, on average."""
+        """The mean time until a usable engine could start a new prefill.
+
+        0.0 if there are none.
+        """
         usable = [e for e in self.engines.values() if e.is_usable]
         if not usable:
             return 0.0
@@ -52,104 +70,117 @@
     def record_first_token(
         self, key: str, now: float, is_timely: bool = True
     ) -> None:
-        """The first token of a request came: its prompt has been read.
+        """Records that a request's first token arrived.
+
+        Its prompt has been prefilled, and so have those granted clearly
+        earlier at the same engine.
 
         Args:
             key: The request.
-            now: When the news came.
-            is_timely: It came without delay, so its time says how fast the
-                engine reads.
+            now: When the report arrived.
+            is_timely: Whether the report arrived without delay, so that it
+                may be used to estimate the engine's rate.
         """
-        flight = self.in_flight.get(key)
-        if flight is None or not flight.is_reading:
+        request = self.in_flight.get(key)
+        if request is None or not request.is_prefilling:
             return
-        engine = self.engines.get(flight.endpoint)
+        engine = self.engines.get(request.endpoint)
         if engine is None:
-            flight.is_reading = False
+            request.is_prefilling = False
             return
-        self._end_overdue(engine, flight, now)
-        engine.unread.pop(key, None)
-        flight.is_reading = False
-        engine.end_reading(flight.prefill_tokens, now, is_timely)
+        self._finish_earlier_prefills(engine, request, now)
+        engine.prefilling.pop(key, None)
+        request.is_prefilling = False
+        engine.finish_prefill(request.prefill_tokens, now, is_timely)
 
-    def _end_overdue(
-        self, engine: Engine, last: InFlightRequest, now: float
+    def _finish_earlier_prefills(
+        self, engine: Engine, latest: InFlightRequest, now: float
     ) -> None:
-        """Counts as read what must have been read before `last`.
+        """Marks prompts as prefilled that were granted before `latest`.
 
-        Engines read in order of arrival. News of an earlier prompt that is
-        still missing is held up at a router that is short of processor;
-        counted as unread, it would keep the engine idle.
+        Engines prefill in order of arrival, so a report still missing for an
+        earlier prompt is only delayed at its router. Without this, the
+        engine would get no new requests until the report arrives.
         """
-        before = last.granted_at - OVERDUE_MS
-        for key, flight in list(engine.unread.items()):
-            if flight.granted_at >= before:
+        limit = latest.granted_at - ORDER_TOLERANCE_MS
+        for key, request in list(engine.prefilling.items()):
+            if request.granted_at >= limit:
                 break
-            self._count_as_read(engine, key, flight, now)
+            self._mark_prefilled(engine, key, request, now)
 
     @staticmethod
-    def _count_as_read(
-        engine: Engine, key: str, flight: InFlightRequest, now: float
+    def _mark_prefilled(
+        engine: Engine, key: str, request: InFlightRequest, now: float
     ) -> None:
-        del engine.unread[key]
-        flight.is_reading = False
-        engine.end_reading(flight.prefill_tokens, now, False)
+        del engine.prefilling[key]
+        request.is_prefilling = False
+        engine.finish_prefill(request.prefill_tokens, now, False)
 
     def finish(self, key: str) -> None:
-        """A request is no longer at its engine."""
-        flight = self.in_flight.pop(key, None)
-        engine = self.engines.get(flight.endpoint) if flight else None
+        """Removes a request that is no longer at its engine.
+
+        Unknown requests are ignored.
+        """
+        request = self.in_flight.pop(key, None)
+        engine = self.engines.get(request.endpoint) if request else None
         if engine is None:
             return
-        engine.unread.pop(key, None)
+        engine.prefilling.pop(key, None)
         engine.running -= 1
-        engine.memory -= flight.memory_tokens
-        if flight.is_reading:
+        engine.used_memory_tokens -= request.memory_tokens
+        if request.is_prefilling:
             engine.prefill_tokens = max(
-                0.0, engine.prefill_tokens - flight.prefill_tokens
+                0.0, engine.prefill_tokens - request.prefill_tokens
             )
 
     def set_lagging(self, router: str, is_lagging: bool) -> None:
-        """A router says whether it is short of processor.
+        """Sets whether a router is short of processor time.
 
-        One that is sends what it was granted late, and tells late that it
-        was read. Engines that are kept for its prompts until then stand
-        idle, so for them expected times count instead of news.
+        A lagging router sends granted requests and reports of first tokens
+        with delay. Its prompts count as prefilled when they are expected to
+        be, without a report, so that engines don't idle meanwhile.
         """
         if is_lagging:
             self.lagging_routers.add(router)
         else:
             self.lagging_routers.discard(router)
 
-    def end_expected(self, now: float) -> None:
-        """Counts as read what late routers should have had read by now."""
+    def finish_expected_prefills(self, now: float) -> None:
+        """Marks due prompts of lagging routers as prefilled."""
         for engine in self.engines.values():
-            for key, flight in list(engine.unread.items()):
+            for key, request in list(engine.prefilling.items()):
                 if (
-                    flight.router in self.lagging_routers
-                    and now >= flight.read_by
+                    request.router in self.lagging_routers
+                    and now >= request.prefill_due_at
                 ):
-                    self._count_as_read(engine, key, flight, now)
+                    self._mark_prefilled(engine, key, request, now)
+
+    def finish_prefills_of(self, router: str, now: float) -> None:
+        """Marks all prompts of a router as prefilled.
 
-    def end_unsent(self, router: str, now: float) -> None:
-        """Counts as read what a silent router may not have sent at all."""
+        For an unresponsive router, which may not have sent them at all.
+        """
         for engine in self.engines.values():
-            for key, flight in list(engine.unread.items()):
-                if flight.router == router:
-                    self._count_as_read(engine, key, flight, now)
+            for key, request in list(engine.prefilling.items()):
+                if request.router == router:
+                    self._mark_prefilled(engine, key, request, now)
 
-    def add_flight(
-        self, engine: Engine, key: str, flight: InFlightRequest
+    def add_in_flight(
+        self, engine: Engine, key: str, request: InFlightRequest
     ) -> None:
-        """Counts a request that goes to an engine."""
-        self.in_flight[key] = flight
-        if flight.is_reading:
-            engine.unread[key] = flight
+        """Adds a request that is being sent to an engine."""
+        self.in_flight[key] = request
+        if request.is_prefilling:
+            engine.prefilling[key] = request
         engine.running += 1
-        engine.memory += flight.memory_tokens
-        is_timely = flight.router not in self.lagging_routers
-        engine.begin_reading(
-            flight.prefill_tokens, flight.granted_at, is_timely
+        engine.used_memory_tokens += request.memory_tokens
+        is_timely = request.router not in self.lagging_routers
+        engine.start_prefill(
+            request.prefill_tokens, request.granted_at, is_timely
+        )
+        request.prefill_due_at = (
+            request.granted_at + engine.wait_ms + FIRST_TOKEN_LATENCY_MS
+        )
+        engine.prefix_cache.evict_to(
+            engine.memory_tokens - engine.used_memory_tokens
         )
-        flight.read_by = flight.granted_at + engine.wait_ms + FIRST_TOKEN_MS
-        engine.kept.shrink_to(engine.memory_tokens - engine.memory)
--- a/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
@@ -1,10 +1,9 @@
-"""Chooses the endpoint of a request by what it would cost there.
+"""Placement of prompts by one router, without a broker.
 
-An engine keeps parts of prompts that it has read. Sent to the engine that
-keeps its parts, a request reads a few hundred tokens; elsewhere it reads
-thousands, and everybody who runs there waits meanwhile. So each shared part
-has a home, the same for all routers without a word between them, and a
-request leaves its home only if waiting there costs more than the move.
+An engine caches the parts of prompts that it has prefilled, so requests with
+shared parts should go to the same engine. Each shared part has a preferred
+engine, which all routers compute alike without communicating. A request goes
+elsewhere only if waiting for its preferred engine would take too long.
 """
 
 import hashlib
@@ -14,24 +13,24 @@
 
 from marjoramyard.coordination.routing.table import PromptPart
 
-MOVE_MARGIN_MS = 60.0
-"""How much later a request would start at home before it moves. Below it
-the moves themselves cost more than they save: time on the link, and memory
-at both ends."""
+MIN_WAIT_GAIN_MS = 60.0
+"""By how much the wait must be shorter at another engine than at the
+preferred one. A smaller gain does not outweigh the cost of the transfer and
+of the memory for a second copy."""
 FETCH_SETUP_MS = 5.0
-"""From an engine asking another for kept parts to the first byte."""
-STEP_MS_PER_RUN = 0.15
-"""What one more running request adds to each step of its batch."""
+"""From a fetch request between engines to the first byte."""
+STEP_MS_PER_REQUEST = 0.15
+"""Time that one more running request adds to each step of its batch."""
 
 
 class EngineView(msgspec.Struct):
-    """What a router knows of one engine when it chooses.
+    """A router's view of one engine.
 
     Attributes:
-        endpoint: Its id.
-        prefill_tokens: Prompt tokens sent there that it has not read yet.
-        running: Requests sent there that have not ended.
-        rate: Prompt tokens that it reads in a millisecond.
+        endpoint: The engine's endpoint.
+        prefill_tokens: Prompt tokens sent to it and not prefilled yet.
+        running: Requests sent to it that have not ended.
+        rate: Its prefill rate, in tokens per ms.
     """
 
     endpoint: str
@@ -41,18 +40,20 @@
 
     @property
     def wait_ms(self) -> float:
-        """How long a new request would wait before it is read."""
-        return self.prefill_tokens / self.rate + STEP_MS_PER_RUN * self.running
+        """The expected time until a new request's prefill would start."""
+        return (
+            self.prefill_tokens / self.rate + STEP_MS_PER_REQUEST * self.running
+        )
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Where a request goes.
+    """The engine chosen for a request.
 
     Attributes:
         endpoint: The chosen engine.
-        fetch_from: The engine to fetch kept parts from, or "".
-        prefill_tokens: Prompt tokens that the engine is expected to read.
-        wait_ms: How long the request is expected to wait there.
+        fetch_from: The engine to fetch cached prompt parts from, or "".
+        prefill_tokens: Prompt tokens that the engine is expected to prefill.
+        wait_ms: The expected wait until the prefill starts.
     """
 
     endpoint: str
@@ -62,10 +63,14 @@
 
 
 def preferred_engine(digest: str, endpoints: Sequence[str]) -> str:
-    """Returns the endpoint that a part belongs to (rendezvous hashing).
+    """Returns the preferred endpoint of a prompt part.
 
-    When an endpoint comes or goes only its own parts move, so the others'
-    kept parts stay of use.
+    Rendezvous hashing: when an endpoint is added or removed, only the parts
+    that prefer this endpoint change theirs.
+
+    Args:
+        digest: The part's digest.
+        endpoints: The endpoints to choose from; not empty.
     """
     return max(
         endpoints,
@@ -76,10 +81,12 @@
 
 
 def split_parts(parts: Sequence[PromptPart]) -> tuple[str, float, float]:
-    """Returns the part to place by, and the shared and the own tokens.
+    """Splits a prompt into shared parts and the request's own last part.
 
-    The last part belongs to the request itself. The one before it is the
-    most particular one that others share.
+    Returns:
+        The digest that determines the preferred engine, which is that of the
+        last shared part; the number of shared tokens; the number of own
+        tokens.
     """
     if not parts:
         return "", 0.0, 0.0
@@ -97,22 +104,28 @@
     engines: Sequence[EngineView],
     fetch_ms_per_token: float,
 ) -> Placement:
-    """Chooses the engine of a request whose prompt has known parts.
+    """Chooses the engine of a request by its prompt parts.
 
     Args:
         parts: The prompt's parts in order.
-        engines: The engines that take work; not empty.
-        fetch_ms_per_token: What moving one kept token costs; 0 if engines
-            can't fetch.
+        engines: The engines to choose from; not empty.
+        fetch_ms_per_token: Transfer time of one cached token between
+            engines; 0 if engines can't fetch from each other.
     """
     key, shared, own = split_parts(parts)
-    home_name = preferred_engine(key, [engine.endpoint for engine in engines])
-    home = next(e for e in engines if e.endpoint == home_name)
-    best = min(engines, key=lambda engine: engine.wait_ms)
-    if home.wait_ms <= best.wait_ms + MOVE_MARGIN_MS:
-        return Placement(home_name, "", own, home.wait_ms)
-    reading_again_ms = shared / best.rate
+    preferred_name = preferred_engine(
+        key, [engine.endpoint for engine in engines]
+    )
+    preferred = next(e for e in engines if e.endpoint == preferred_name)
+    least_loaded = min(engines, key=lambda engine: engine.wait_ms)
+    if preferred.wait_ms <= least_loaded.wait_ms + MIN_WAIT_GAIN_MS:
+        return Placement(preferred_name, "", own, preferred.wait_ms)
+    prefill_ms = shared / least_loaded.rate
     fetch_ms = FETCH_SETUP_MS + shared * fetch_ms_per_token
-    if fetch_ms_per_token > 0 and fetch_ms < reading_again_ms:
-        return Placement(best.endpoint, home_name, own, best.wait_ms)
-    return Placement(best.endpoint, "", own + shared, best.wait_ms)
+    if fetch_ms_per_token > 0 and fetch_ms < prefill_ms:
+        return Placement(
+            least_loaded.endpoint, preferred_name, own, least_loaded.wait_ms
+        )
+    return Placement(
+        least_loaded.endpoint, "", own + shared, least_loaded.wait_ms
+    )
--- a/packages/coordination/src/marjoramyard/coordination/placement/plans.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/plans.py
@@ -1,4 +1,4 @@
-"""What a request would cost on one engine or another."""
+"""Cost of a request at each engine, and the cheapest choice."""
 
 from collections.abc import Iterable
 
@@ -13,25 +13,25 @@
 from marjoramyard.coordination.placement.requests import PlacementRequest
 from marjoramyard.coordination.routing.config import EngineProfile
 
-FETCH_GAIN_TOKENS = 64
-"""A fetch of fewer tokens costs more than reading them."""
-COPY_MS_PER_TOKEN = 0.01
-"""What a second copy of kept parts costs beside the time to make it, as
-milliseconds of waiting. It pushes other kept parts out of the engine's
-memory, which are read again later."""
-HOME_MS = 60.0
-"""How much later a prompt may start at its home if nobody is known to keep
-its parts. A broker that has just taken over knows of no kept parts; those
-that were placed by their home are still there."""
+MIN_FETCH_TOKENS = 64
+"""Fetching fewer tokens than this takes longer than prefilling them."""
+DUPLICATE_MS_PER_TOKEN = 0.01
+"""Cost of another copy of a cached token, in addition to the time to make it.
+The copy evicts other cached parts, which have to be prefilled again later."""
+NOT_PREFERRED_MS = 60.0
+"""Cost of an engine other than the preferred one, if no engine is known to
+have cached the prompt. A new broker knows of no cached parts, but those that
+were placed by preference are likely to be still there."""
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A request on an engine.
+    """A possible placement of a request.
 
     Attributes:
-        cost_ms: What it costs everybody, as milliseconds of waiting.
-        fetch_from: The engine to fetch kept parts from, or "".
-        prefill_tokens: Prompt tokens that the engine would read.
+        cost_ms: The total cost, in ms of waiting.
+        engine: The engine.
+        fetch_from: The engine to fetch cached prompt parts from, or "".
+        prefill_tokens: Prompt tokens that the engine would prefill.
     """
 
     cost_ms: float
@@ -41,58 +41,69 @@
 
 
 def best_plan(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     usable: list[Engine],
-    roomy: Iterable[Engine],
+    available: Iterable[Engine],
     profile: EngineProfile,
 ) -> Plan:
     """Returns the cheapest plan.
 
     Args:
-        ask: The request.
-        usable: Engines that may get it; not empty.
-        roomy: Those of them with a slot and memory for it; not empty.
-        profile: What all engines share.
+        request: The request.
+        usable: Engines that the request may use; not empty.
+        available: Those of them with a free slot and memory; not empty.
+        profile: The properties shared by all engines.
     """
-    keeper = max(usable, key=lambda e: e.kept.leading_tokens(ask.parts))
-    home = _home_if_unknown(ask, keeper, usable)
-    plans = (_plan(ask, engine, keeper, home, profile) for engine in roomy)
+    source = max(
+        usable, key=lambda e: e.prefix_cache.leading_tokens(request.parts)
+    )
+    preferred = _preferred_if_uncached(request, source, usable)
+    plans = (
+        _plan(request, engine, source, preferred, profile)
+        for engine in available
+    )
     return min(plans, key=lambda plan: plan.cost_ms)
 
 
-def _home_if_unknown(
-    ask: PlacementRequest, keeper: Engine, usable: list[Engine]
+def _preferred_if_uncached(
+    request: PlacementRequest, source: Engine, usable: list[Engine]
 ) -> str:
-    """Returns a prompt's home if nobody is known to keep its parts."""
-    if keeper.kept.leading_tokens(ask.parts[:-1]):
+    """Returns the preferred engine, or "" if a shared part is cached.
+
+    Args:
+        request: The request.
+        source: The engine with the longest cached prefix.
+        usable: The engines to choose from.
+    """
+    if source.prefix_cache.leading_tokens(request.parts[:-1]):
         return ""
-    key, _, _ = split_parts(ask.parts)
+    key, _, _ = split_parts(request.parts)
     return preferred_engine(key, [engine.endpoint for engine in usable])
 
 
 def _plan(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     engine: Engine,
-    keeper: Engine,
-    home: str,
+    source: Engine,
+    preferred: str,
     profile: EngineProfile,
 ) -> Plan:
-    kept = engine.kept.leading_tokens(ask.parts)
-    there = keeper.kept.leading_tokens(ask.parts)
-    alone = max(1.0, ask.prompt_tokens - kept)
-    gain = there - kept
-    base = engine.wait_ms + gain * COPY_MS_PER_TOKEN
-    if home and engine.endpoint != home:
-        base += HOME_MS
-    cost = base + alone / engine.rate
-    if keeper is engine or gain < FETCH_GAIN_TOKENS:
-        return Plan(cost, engine, "", alone)
-    moved_ms = FETCH_SETUP_MS + gain * _fetch_ms_per_token(profile)
-    fetched = max(1.0, ask.prompt_tokens - there)
-    fetch_cost = base + moved_ms + fetched / engine.rate
+    cached = engine.prefix_cache.leading_tokens(request.parts)
+    cached_at_source = source.prefix_cache.leading_tokens(request.parts)
+    without_fetch = max(1.0, request.prompt_tokens - cached)
+    fetchable = cached_at_source - cached
+    base = engine.wait_ms + fetchable * DUPLICATE_MS_PER_TOKEN
+    if preferred and engine.endpoint != preferred:
+        base += NOT_PREFERRED_MS
+    cost = base + without_fetch / engine.rate
+    if source is engine or fetchable < MIN_FETCH_TOKENS:
+        return Plan(cost, engine, "", without_fetch)
+    fetch_ms = FETCH_SETUP_MS + fetchable * _fetch_ms_per_token(profile)
+    with_fetch = max(1.0, request.prompt_tokens - cached_at_source)
+    fetch_cost = base + fetch_ms + with_fetch / engine.rate
     if not profile.link_mbps or fetch_cost >= cost:
-        return Plan(cost, engine, "", alone)
-    return Plan(fetch_cost, engine, keeper.endpoint, fetched)
+        return Plan(cost, engine, "", without_fetch)
+    return Plan(fetch_cost, engine, source.endpoint, with_fetch)
 
 
 def _fetch_ms_per_token(profile: EngineProfile) -> float:
--- a/packages/coordination/src/marjoramyard/coordination/placement/prefix_cache.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an engine keeps, by our own history."""
+"""Estimate of the prompt parts that an engine has cached."""
 
 from collections import OrderedDict
 from collections.abc import Container, Iterable, Sequence
@@ -6,25 +6,29 @@
 from marjoramyard.coordination.routing.table import PromptPart
 
 
-def leading_tokens(held: Container[str], parts: Iterable[PromptPart]) -> int:
-    """Returns how many tokens of a prompt are kept from its start on.
+def leading_tokens(cached: Container[str], parts: Iterable[PromptPart]) -> int:
+    """Returns the length of a prompt's cached prefix, in tokens.
 
-    A part counts only if all parts before it are kept too.
+    A part counts only if all parts before it are cached too.
     """
-    found = 0
+    total = 0
     for part in parts:
-        if part.digest not in held:
+        if part.digest not in cached:
             break
-        found += part.tokens
-    return found
+        total += part.tokens
+    return total
 
 
 class PrefixCache:
-    """The parts that one engine has read, least recently used first.
+    """The prompt parts cached by one engine, least recently used first.
 
-    Engines report what they keep late and with gaps, while every request
-    that reads something passes by here; so the history of sends is the
-    better source, and the memory's size bounds it.
+    The content is derived from the requests sent to the engine, because
+    engines report their caches late and incompletely.
+
+    Attributes:
+        capacity: The engine's memory, in tokens.
+        parts: Length in tokens of each cached part, by digest.
+        tokens: The total length of all cached parts.
     """
 
     def __init__(self, capacity: float):
@@ -33,27 +37,28 @@
         self.tokens = 0
 
     def leading_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Returns how many prompt tokens need not be read."""
+        """Returns the length of a prompt's cached prefix, in tokens."""
         return leading_tokens(self.parts, parts)
 
-    def read(self, parts: Iterable[PromptPart]) -> None:
-        """Notes that a prompt was read, or its parts were used again."""
+    def add(self, parts: Iterable[PromptPart]) -> None:
+        """Adds the parts of a prompt, or marks them as recently used."""
         for part in parts:
-            held = self.parts.pop(part.digest, 0)
+            old_tokens = self.parts.pop(part.digest, 0)
             self.parts[part.digest] = part.tokens
-            self.tokens += part.tokens - held
-        self.shrink_to(self.capacity)
+            self.tokens += part.tokens - old_tokens
+        self.evict_to(self.capacity)
 
-    def shrink_to(self, capacity: float) -> None:
-        """Forgets the least recently used parts beyond a size.
+    def evict_to(self, capacity: float) -> None:
+        """Evicts the least recently used parts until `capacity` is met.
 
-        Running requests take memory too, and kept parts yield to them.
+        Running requests share the memory with the cache and take precedence.
+        The most recently used part always stays.
         """
         while self.tokens > capacity and len(self.parts) > 1:
             _, tokens = self.parts.popitem(last=False)
             self.tokens -= tokens
 
     def clear(self) -> None:
-        """The engine restarted and keeps nothing."""
+        """Removes all parts, as after a restart of the engine."""
         self.parts.clear()
         self.tokens = 0
--- a/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/request_queue.py
@@ -1,4 +1,4 @@
-"""The line of one workspace's waiting requests."""
+"""The queue of one workspace's requests."""
 
 import heapq
 
@@ -8,55 +8,66 @@
 
 
 class QueuedRequest(msgspec.Struct):
-    """A request in a line.
+    """A request in a queue.
 
     Attributes:
-        cost: The tokens that it is likely to have read.
-        is_gone: Its caller has left, or it was refused.
+        request: The request itself.
+        cost: Prompt tokens that an engine is expected to prefill.
+        is_removed: Whether the request has left the queue; its heap entry is
+            discarded later.
     """
 
-    ask: PlacementRequest
+    request: PlacementRequest
     cost: float
-    is_gone: bool = False
+    is_removed: bool = False
 
 
 class RequestQueue:
-    """The waiting requests of one workspace, the most urgent first."""
+    """The queued requests of one workspace, earliest due time first.
+
+    Attributes:
+        heap: Entries by due time, then by order of arrival; may contain
+            removed requests, but not as the first entry.
+        tokens: The total cost of all queued requests.
+    """
 
     def __init__(self):
         self.heap: list[tuple[float, int, QueuedRequest]] = []
         self.tokens = 0.0
 
-    def push(self, waiting: QueuedRequest, number: int) -> None:
-        """Adds a request."""
+    def push(self, queued: QueuedRequest, sequence: int) -> None:
+        """Adds a request; `sequence` orders requests due at the same time."""
         heapq.heappush(
-            self.heap, (waiting.ask.first_token_due_at, number, waiting)
+            self.heap, (queued.request.first_token_due_at, sequence, queued)
         )
-        self.tokens += waiting.cost
+        self.tokens += queued.cost
 
     def tokens_before(self, first_token_due_at: float) -> float:
-        """Returns the tokens of those that are due no later."""
+        """Returns the total cost of requests due by the given time."""
         return sum(
-            waiting.cost
-            for due, _, waiting in self.heap
-            if due <= first_token_due_at and not waiting.is_gone
+            queued.cost
+            for due, _, queued in self.heap
+            if due <= first_token_due_at and not queued.is_removed
         )
 
-    def leave(self, waiting: QueuedRequest) -> None:
-        """Counts a request no more that waits no more.
+    def remove(self, queued: QueuedRequest) -> None:
+        """Removes a request, whose cost no longer counts from now on.
 
-        In a rush callers leave by the dozen. Counted as ahead of others
-        until their turn, they would have those refused for their sake.
+        Its heap entry stays until it becomes the first one.
         """
-        waiting.is_gone = True
-        self.tokens = max(0.0, self.tokens - waiting.cost)
-        while self.heap and self.heap[0][2].is_gone:
+        queued.is_removed = True
+        self.tokens = max(0.0, self.tokens - queued.cost)
+        while self.heap and self.heap[0][2].is_removed:
             heapq.heappop(self.heap)
         if not self.heap:
             self.tokens = 0.0
 
     def pop(self) -> QueuedRequest:
-        """Takes the request that is due first."""
-        _, _, waiting = heapq.heappop(self.heap)
-        self.leave(waiting)
-        return waiting
+        """Removes and returns the request that is due first.
+
+        Raises:
+            IndexError: The queue is empty.
+        """
+        _, _, queued = heapq.heappop(self.heap)
+        self.remove(queued)
+        return queued
--- a/packages/coordination/src/marjoramyard/coordination/placement/requests.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/requests.py
@@ -1,30 +1,30 @@
-"""A request that wants an engine, and what it may be told."""
+"""Placement requests and the broker's responses to them."""
 
 import msgspec
 
 from marjoramyard.coordination.routing.table import PromptPart
 
-RUSH_RETURN_MS = 1500.0
-"""A refused caller is told to come back no sooner than this. A line is as
-short as an objective whatever the rush, and rushes last for seconds; told
-the length of the line, callers return into the rush, are refused again and
-have no further try. Much later than this they would not wait."""
+MIN_RETRY_AFTER_MS = 1500.0
+"""Lower bound of the retry delay sent with a refusal. Overload usually lasts
+longer than the queue that caused the refusal, so a retry after only the
+predicted wait would be refused again."""
 
 
 class PlacementRequest(msgspec.Struct, kw_only=True):
-    """A request that wants an engine.
+    """A request that needs an engine.
+
+    All times are in ms of the broker's clock.
 
     Attributes:
-        key: Names it among all routers.
-        workspace: Whose share it is served from.
-        parts: Its prompt.
-        output_tokens: The most that it may generate, or an estimate.
-        first_token_due_at: When its first token is due, in ms of the
-            broker's clock.
-        deadline_at: When its caller stops waiting.
-        submitted_at: When it asked.
-        excluded_endpoints: Endpoints that must not get it.
-        router: Who asks, and would send it.
+        key: Identifies the request among those of all routers.
+        workspace: The workspace whose share is charged.
+        parts: The prompt's parts in order.
+        output_tokens: Upper limit or estimate of the generated tokens.
+        first_token_due_at: When the first token is due.
+        deadline_at: When the caller stops waiting.
+        submitted_at: When the request was submitted.
+        excluded_endpoints: Endpoints that must not be chosen.
+        router: The router that submitted the request and will send it.
     """
 
     key: str
@@ -39,12 +39,12 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """The whole prompt."""
+        """The length of the complete prompt in tokens."""
         return sum(part.tokens for part in self.parts)
 
     @property
     def own_memory_tokens(self) -> float:
-        """What its run takes of an engine's memory beside shared parts."""
+        """The engine memory needed in addition to shared parts, in tokens."""
         own = self.parts[-1].tokens if self.parts else 0
         return float(own + self.output_tokens)
 
@@ -53,13 +53,13 @@
     """A request that a router sent without a grant of this broker.
 
     Attributes:
-        key: Names it among all routers.
-        endpoint: Where it was sent.
-        prefill_tokens: Prompt tokens that are still to be read there.
-        memory_tokens: What its run takes of the engine's memory.
-        workspace: Whose share it is served from.
-        output_tokens: The most that it may generate, or an estimate.
-        router: Who sent it.
+        key: Identifies the request among those of all routers.
+        endpoint: The engine it was sent to.
+        prefill_tokens: Prompt tokens that the engine has yet to prefill.
+        memory_tokens: The engine memory that the request occupies.
+        workspace: The workspace whose share is charged.
+        output_tokens: Upper limit or estimate of the generated tokens.
+        router: The router that sent the request.
     """
 
     key: str
@@ -71,16 +71,23 @@
     router: str = ""
 
 
-def service_cost(tokens: float, output_tokens: int) -> float:
-    """Returns what a request takes of its workspace's share, in tokens.
+def service_cost(prefill_tokens: float, output_tokens: int) -> float:
+    """Returns the cost charged to a workspace, in prefill tokens.
 
-    Writing a token takes an engine as long as reading two.
+    A generated token costs as much engine time as two prefilled ones.
     """
-    return tokens + 2.0 * output_tokens
+    return prefill_tokens + 2.0 * output_tokens
 
 
 class PlacementGrant(msgspec.Struct, frozen=True):
-    """A request that may be sent now."""
+    """Permission to send a request to an engine now.
+
+    Attributes:
+        key: The request.
+        endpoint: The engine to send it to.
+        fetch_from: The engine to fetch cached prompt parts from, or "".
+        prefill_tokens: Prompt tokens that the engine will prefill.
+    """
 
     key: str
     endpoint: str
@@ -89,12 +96,16 @@
 
 
 class PlacementRefusal(msgspec.Struct, frozen=True):
-    """A request that would be late; it may come back after a while.
+    """Refusal of a request that would miss its objective or its deadline.
 
     Attributes:
-        over_ms: How much shorter the line would have to be. It gets shorter
-            by a millisecond each millisecond at the most, so for so long
-            the same request of the same workspace would be refused again.
+        key: The request.
+        retry_after_ms: When the caller should retry.
+        predicted_ms: Predicted time to the first token; for a request that
+            was queued, the time it has waited.
+        over_ms: By how much the predicted wait exceeds the limit. A queue
+            drains by at most one ms per ms, so an equal request of the same
+            workspace would be refused for at least this long.
     """
 
     key: str
@@ -106,6 +117,13 @@
 def refusal(
     key: str, wait_ms: float, predicted_ms: float, over_ms: float = 0.0
 ) -> PlacementRefusal:
-    """Returns the word for a request that would be late."""
-    return_ms = max(wait_ms, RUSH_RETURN_MS)
-    return PlacementRefusal(key, return_ms, predicted_ms, over_ms)
+    """Returns a refusal with a retry delay of at least the minimum.
+
+    Args:
+        key: The request.
+        wait_ms: The predicted wait in the queue.
+        predicted_ms: See `PlacementRefusal`.
+        over_ms: See `PlacementRefusal`.
+    """
+    retry_after_ms = max(wait_ms, MIN_RETRY_AFTER_MS)
+    return PlacementRefusal(key, retry_after_ms, predicted_ms, over_ms)
--- a/packages/coordination/tests/placement/test_broker.py
+++ b/packages/coordination/tests/placement/test_broker.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from marjoramyard.coordination.placement.broker import Broker
-from marjoramyard.coordination.placement.engines import AHEAD_MS
+from marjoramyard.coordination.placement.engines import MAX_BACKLOG_MS
 from marjoramyard.coordination.placement.local_placement import (
     EngineView,
     place_prompt,
@@ -112,7 +112,7 @@
             if told.endpoint == "e1":
                 broker.record_first_token(told.key, now + 55)
                 broker.finish(told.key)
-    assert granted.count("e0") <= AHEAD_MS * RATE / 2000 + 1
+    assert granted.count("e0") <= MAX_BACKLOG_MS * RATE / 2000 + 1
     assert granted.count("e1") > 50
 
 
@@ -243,17 +243,17 @@
     for engine in broker.engines.values():
         assert engine.running == 0
         assert engine.prefill_tokens == pytest.approx(0, abs=1e-6)
-        assert engine.memory == pytest.approx(0, abs=1e-6)
+        assert engine.used_memory_tokens == pytest.approx(0, abs=1e-6)
 
 
 def test_kept_parts_count_only_from_the_start_and_the_oldest_goes():
     kept = PrefixCache(1000)
     a, b, c = (PromptPart(name, 400) for name in "abc")
-    kept.read([a, b])
+    kept.add([a, b])
     assert kept.leading_tokens([a, b, c]) == 800
     assert kept.leading_tokens([b, a]) == 800
     assert kept.leading_tokens([c, a]) == 0
-    kept.read([c])
+    kept.add([c])
     assert kept.leading_tokens([a]) == 0
     assert kept.tokens <= 1000
 
--- a/packages/coordination/tests/placement/test_broker_delayed_reports.py
+++ b/packages/coordination/tests/placement/test_broker_delayed_reports.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from marjoramyard.coordination.placement.engines import FIRST_TOKEN_MS
+from marjoramyard.coordination.placement.engines import FIRST_TOKEN_LATENCY_MS
 from marjoramyard.coordination.placement.requests import UnbrokeredRequest
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -183,7 +183,7 @@
     assert granted(broker, 0.0) == ["l0", "l1"]
     ask_from(broker, "sound", "k", now=1.0)
     assert granted(broker, 70.0) == []
-    assert granted(broker, 100.0 + FIRST_TOKEN_MS) == ["k"]
+    assert granted(broker, 100.0 + FIRST_TOKEN_LATENCY_MS) == ["k"]
 
 
 def test_an_engine_that_is_slow_gets_no_more_from_routers_in_time():
