--- a/packages/coordination/tests/placement/engine_simulation.py
+++ b/packages/coordination/tests/placement/engine_simulation.py
@@ -1,6 +1,6 @@
-"""A small model of engines that read one prompt after the other.
+"""A simulation of engines that prefill one prompt at a time.
 
-For tests of the broker under load: no network, no clock.
+For tests of the broker under load, without network and real time.
 """
 
 import random
@@ -17,8 +17,9 @@
     slots=64, memory_tokens=235_000, token_bytes=18_432, link_mbps=370_000
 )
 RATE = 36.0
-"""Prompt tokens a millisecond, as on one of the deployments' sheets."""
-AIM_MS = 800.0
+"""The prefill rate of an engine, in tokens per ms."""
+OBJECTIVE_MS = 800.0
+"""Time from the submission of a request until its first token is due."""
 
 
 def make_broker(engines=2):
@@ -27,13 +28,15 @@
     return broker
 
 
-def make_ask(key, workspace="w", now=0.0, tokens=2000, shared=(), **changes):
+def make_request(
+    key, workspace="w", now=0.0, tokens=2000, shared=(), **changes
+):
     fields = {
         "key": key,
         "workspace": workspace,
         "parts": (*shared, PromptPart(f"own-{key}", tokens)),
         "output_tokens": 50,
-        "first_token_due_at": now + AIM_MS,
+        "first_token_due_at": now + OBJECTIVE_MS,
         "deadline_at": now + 5000.0,
         "submitted_at": now,
     }
@@ -41,61 +44,73 @@
 
 
 class Simulation:
-    """Plays arrivals against engines that read one prompt after another."""
+    """Runs a broker against engines that prefill one prompt at a time.
+
+    Attributes:
+        now: The simulated time, in ms.
+        free_at: When each engine will have prefilled all of its prompts.
+        prefilling: (end of prefill, key) of the granted requests.
+        submitted: All submitted requests, by key.
+        first_token_ms: Time from submission to the first token, by key.
+        refused: Refusals, by key.
+    """
 
     def __init__(self, broker, rate=RATE):
         self.broker = broker
         self.rate = rate
         self.now = 0.0
         self.free_at = dict.fromkeys(broker.engines, 0.0)
-        self.reading = []
-        self.asked = {}
-        self.first_ms = {}
+        self.prefilling = []
+        self.submitted = {}
+        self.first_token_ms = {}
         self.refused = {}
 
-    def play(self, arrivals, settle_ms=60_000.0):
-        """Plays (time, ask) pairs, sorted by time, to the end."""
-        for at, ask in arrivals:
+    def run(self, arrivals, settle_ms=60_000.0):
+        """Submits (time, request) pairs in order, and waits for the engines."""
+        for at, request in arrivals:
             self.run_until(at)
-            self.asked[ask.key] = ask
-            refused = self.broker.submit(ask, at)
+            self.submitted[request.key] = request
+            refused = self.broker.submit(request, at)
             if refused is not None:
-                self.refused[ask.key] = refused
-            self.pump()
+                self.refused[request.key] = refused
+            self.dispatch()
         self.run_until(arrivals[-1][0] + settle_ms)
 
     def run_until(self, end):
-        while self.reading and min(self.reading)[0] <= end:
-            done = min(self.reading)
-            self.reading.remove(done)
+        """Ends all prefills that are due by the given time."""
+        while self.prefilling and min(self.prefilling)[0] <= end:
+            done = min(self.prefilling)
+            self.prefilling.remove(done)
             self.now, key = done
-            self.first_ms[key] = self.now - self.asked[key].submitted_at
+            self.first_token_ms[key] = (
+                self.now - self.submitted[key].submitted_at
+            )
             self.broker.record_first_token(key, self.now)
             self.broker.finish(key)
-            self.pump()
+            self.dispatch()
         self.now = end
 
-    def pump(self):
-        for told in self.broker.dispatch(self.now):
-            if isinstance(told, PlacementRefusal):
-                self.refused[told.key] = told
+    def dispatch(self):
+        for result in self.broker.dispatch(self.now):
+            if isinstance(result, PlacementRefusal):
+                self.refused[result.key] = result
                 continue
-            start = max(self.now, self.free_at[told.endpoint])
-            self.free_at[told.endpoint] = (
-                start + told.prefill_tokens / self.rate
+            start = max(self.now, self.free_at[result.endpoint])
+            self.free_at[result.endpoint] = (
+                start + result.prefill_tokens / self.rate
             )
-            self.reading.append((self.free_at[told.endpoint], told.key))
+            self.prefilling.append((self.free_at[result.endpoint], result.key))
 
 
-def arrivals_of(workspaces, seconds, seed=1):
-    """Poisson arrivals: {workspace: (a second, tokens)}."""
+def poisson_arrivals(workspaces, seconds, seed=1):
+    """Returns Poisson arrivals for {workspace: (requests per s, tokens)}."""
     rng = random.Random(seed)
-    found = []
+    arrivals = []
     for workspace, (per_s, tokens) in workspaces.items():
         at, number = 0.0, 0
         while at < seconds * 1000:
             at += rng.expovariate(per_s) * 1000
             number += 1
             key = f"{workspace}-{number}"
-            found.append((at, make_ask(key, workspace, at, tokens)))
-    return sorted(found, key=lambda pair: pair[0])
+            arrivals.append((at, make_request(key, workspace, at, tokens)))
+    return sorted(arrivals, key=lambda pair: pair[0])
--- a/packages/coordination/tests/placement/test_broker.py
+++ b/packages/coordination/tests/placement/test_broker.py
@@ -1,4 +1,4 @@
-"""Who runs next, where, and who is refused, under named loads."""
+"""Tests of the broker's admission and scheduling, and of local placement."""
 
 import sys
 from pathlib import Path
@@ -23,178 +23,177 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 from engine_simulation import (  # noqa: E402
-    AIM_MS,
+    OBJECTIVE_MS,
     PROFILE,
     RATE,
     Simulation,
-    arrivals_of,
-    make_ask,
     make_broker,
+    make_request,
+    poisson_arrivals,
 )
 
 
-def test_a_rush_is_refused_at_once_and_what_runs_is_on_time():
-    """Callers would all wait for answers that come too late.
+def test_overload_is_refused_on_arrival_and_accepted_requests_are_on_time():
+    """Guards against queues that grow under overload until all are late.
 
-    Three times what two engines read arrives for ten seconds. An engine's
-    own queue would grow to the deadline of all; here the excess is told to
-    come back as it arrives, and what is accepted has its first token in time.
+    Three times the capacity of two engines arrives for ten seconds.
     """
     simulation = Simulation(make_broker(2))
-    simulation.play(arrivals_of({"a": (54, 2000), "b": (54, 2000)}, 10))
-    answered = simulation.first_ms
-    on_time = [ms for ms in answered.values() if ms <= AIM_MS]
-    assert len(on_time) >= 0.95 * len(answered)
+    simulation.run(poisson_arrivals({"a": (54, 2000), "b": (54, 2000)}, 10))
+    responses = simulation.first_token_ms
+    on_time = [ms for ms in responses.values() if ms <= OBJECTIVE_MS]
+    assert len(on_time) >= 0.95 * len(responses)
     capacity = 2 * RATE * 10_000 / 2000
     assert len(on_time) >= 0.9 * capacity
-    held = [refused.predicted_ms for refused in simulation.refused.values()]
-    assert held
+    predicted = [r.predicted_ms for r in simulation.refused.values()]
+    assert predicted
     assert all(r.retry_after_ms > 0 for r in simulation.refused.values())
 
 
-def test_a_flood_does_not_take_the_others_share():
-    """A small workspace's callers would be refused beside a flood.
+def test_excess_load_of_one_workspace_does_not_reduce_the_others_share():
+    """Guards against refusals in workspaces that stay below their share.
 
-    One workspace sends ten times what it may have; two others ask for less
-    than a third each. They get all they ask for.
+    One workspace sends ten times its share; two others send less than theirs.
     """
     simulation = Simulation(make_broker(2))
-    simulation.play(
-        arrivals_of({"flood": (120, 2000), "b": (9, 2000), "c": (9, 2000)}, 10)
+    simulation.run(
+        poisson_arrivals(
+            {"excess": (120, 2000), "b": (9, 2000), "c": (9, 2000)}, 10
+        )
     )
     for name in ("b", "c"):
-        asked = sum(k.startswith(f"{name}-") for k in simulation.asked)
+        submitted = sum(k.startswith(f"{name}-") for k in simulation.submitted)
         served = sum(
-            k.startswith(f"{name}-") and ms <= AIM_MS
-            for k, ms in simulation.first_ms.items()
+            k.startswith(f"{name}-") and ms <= OBJECTIVE_MS
+            for k, ms in simulation.first_token_ms.items()
         )
-        assert served >= 0.9 * asked
+        assert served >= 0.9 * submitted
 
 
-def test_backlogged_workspaces_are_served_alike():
+def test_backlogged_workspaces_get_equal_service():
     simulation = Simulation(make_broker(2))
-    simulation.play(
-        arrivals_of({"a": (60, 3000), "b": (90, 1000), "c": (120, 2000)}, 10)
+    simulation.run(
+        poisson_arrivals(
+            {"a": (60, 3000), "b": (90, 1000), "c": (120, 2000)}, 10
+        )
     )
     served = dict.fromkeys("abc", 0.0)
-    for key in simulation.first_ms:
-        ask = simulation.asked[key]
-        served[ask.workspace] += ask.prompt_tokens
+    for key in simulation.first_token_ms:
+        request = simulation.submitted[key]
+        served[request.workspace] += request.prompt_tokens
     assert max(served.values()) <= 1.3 * min(served.values())
 
 
-def test_the_largest_prompts_run_though_they_can_t_be_on_time():
-    """The largest tenth would never be served.
+def test_a_prompt_that_is_too_large_for_its_objective_is_served():
+    """Guards against refusing the largest prompts every time.
 
-    A prompt of 39,000 tokens takes 1.1 s to read alone, more than its
-    objective. It still gets an engine.
+    The prefill of 39,000 tokens alone takes 1.1 s, more than the objective.
     """
     simulation = Simulation(make_broker(2))
-    arrivals = arrivals_of({"a": (20, 2000)}, 5)
-    arrivals.append((5000.0, make_ask("large", "a", 5000.0, 39_000)))
-    simulation.play(arrivals)
-    assert "large" in simulation.first_ms
+    arrivals = poisson_arrivals({"a": (20, 2000)}, 5)
+    arrivals.append((5000.0, make_request("large", "a", 5000.0, 39_000)))
+    simulation.run(arrivals)
+    assert "large" in simulation.first_token_ms
 
 
-def test_an_engine_that_says_nothing_gets_no_more_than_is_read_ahead():
-    """Callers would queue behind an engine that has gone dark.
+def test_an_unresponsive_engine_gets_no_more_than_the_maximum_backlog():
+    """Guards against requests that queue behind an unresponsive engine.
 
-    Nothing comes back from e0. After some prompts its reading ahead is
-    full, and all others go to e1.
+    No report arrives from e0, so all requests beyond its backlog go to e1.
     """
     broker = make_broker(2)
     granted = []
     for number in range(60):
         now = number * 60.0
-        assert broker.submit(make_ask(f"k{number}", now=now), now) is None
-        for told in broker.dispatch(now):
-            granted.append(told.endpoint)
-            if told.endpoint == "e1":
-                broker.record_first_token(told.key, now + 55)
-                broker.finish(told.key)
+        assert broker.submit(make_request(f"k{number}", now=now), now) is None
+        for result in broker.dispatch(now):
+            granted.append(result.endpoint)
+            if result.endpoint == "e1":
+                broker.record_first_token(result.key, now + 55)
+                broker.finish(result.key)
     assert granted.count("e0") <= MAX_BACKLOG_MS * RATE / 2000 + 1
     assert granted.count("e1") > 50
 
 
-def test_a_slow_engine_is_learnt_and_gets_less():
+def test_the_rate_of_a_slow_engine_is_estimated():
     broker = make_broker(1)
     engine = broker.engines["e0"]
     now = 0.0
     for number in range(40):
-        assert broker.submit(make_ask(f"k{number}", now=now), now) is None
-        (told,) = broker.dispatch(now)
-        now += told.prefill_tokens / (RATE / 4) + 12.5
-        broker.record_first_token(told.key, now)
-        broker.finish(told.key)
+        assert broker.submit(make_request(f"k{number}", now=now), now) is None
+        (result,) = broker.dispatch(now)
+        now += result.prefill_tokens / (RATE / 4) + 12.5
+        broker.record_first_token(result.key, now)
+        broker.finish(result.key)
     assert RATE / 5 < engine.rate < RATE / 3
 
 
-def test_the_rate_of_an_engine_that_never_pauses_is_learnt_as_it_is():
-    """Callers would be promised answers that come too late.
+def test_the_rate_of_a_continuously_busy_engine_is_estimated():
+    """Guards against an estimate that is several times too high.
 
-    An engine reads 1,800 tokens in 16 ms and always has the next prompt at
-    hand. What a first token takes on its way is paid once for the whole
-    run, not for each prompt; taking it off each would treble the rate.
+    Prompts take 16 ms each and follow each other without a gap. The report
+    latency must be subtracted once for the whole sample, not for each prompt.
     """
     rate = 112.0
     broker = Broker(PROFILE, rate)
     broker.set_engines(["e0"])
-    free_at, reading, now = 0.0, [], 0.0
+    free_at, prefilling, now = 0.0, [], 0.0
     for number in range(200):
-        broker.submit(make_ask(f"k{number}", now=now, tokens=1800), now)
-        for told in broker.dispatch(now):
+        broker.submit(make_request(f"k{number}", now=now, tokens=1800), now)
+        for result in broker.dispatch(now):
             start = max(free_at, now + 12.5)
-            free_at = start + told.prefill_tokens / rate
-            reading.append((free_at, told.key))
-        if len(reading) >= 3:
-            now, key = reading.pop(0)
+            free_at = start + result.prefill_tokens / rate
+            prefilling.append((free_at, result.key))
+        if len(prefilling) >= 3:
+            now, key = prefilling.pop(0)
             broker.record_first_token(key, now)
             broker.finish(key)
     assert broker.engines["e0"].rate == pytest.approx(rate, rel=0.1)
 
 
-def test_shared_parts_are_fetched_when_their_keeper_is_busy():
+def test_shared_parts_are_fetched_when_the_engine_that_caches_them_is_busy():
     shared = (PromptPart("guide", 6000),)
     broker = make_broker(2)
-    told = []
+    results = []
     for number in range(3):
-        broker.submit(make_ask(f"k{number}", shared=shared, tokens=2500), 0.0)
-        told += broker.dispatch(0.0)
+        broker.submit(
+            make_request(f"k{number}", shared=shared, tokens=2500), 0.0
+        )
+        results += broker.dispatch(0.0)
         broker.record_first_token("k0", 1.0)
-    assert {grant.endpoint for grant in told} == {"e0", "e1"}
-    fetches = [grant for grant in told if grant.fetch_from]
+    assert {grant.endpoint for grant in results} == {"e0", "e1"}
+    fetches = [grant for grant in results if grant.fetch_from]
     assert fetches
     assert all(grant.prefill_tokens == 2500 for grant in fetches)
 
 
-def test_a_withdrawn_request_takes_no_slot():
+def test_a_cancelled_request_takes_no_slot():
     broker = make_broker(1)
-    broker.submit(make_ask("gone"), 0.0)
+    broker.submit(make_request("gone"), 0.0)
     broker.cancel("gone")
     assert broker.dispatch(0.0) == []
     assert broker.engines["e0"].running == 0
 
 
-def test_callers_that_left_are_not_ahead_of_anybody():
-    """Callers are refused behind a line of callers who have left.
+def test_cancelled_requests_do_not_count_as_waiting():
+    """Guards against refusing requests because of cancelled ones ahead.
 
-    In a rush the line is half a second long. All its callers give up; the
-    next one has nobody ahead and would be served at once.
+    The queue is half a second long when all of its callers disconnect.
     """
     broker = make_broker(1)
     number = 0
-    while broker.submit(make_ask(f"k{number}"), 0.0) is None:
+    while broker.submit(make_request(f"k{number}"), 0.0) is None:
         number += 1
     assert broker.predicted_wait_ms("w") > 400
     for key in list(broker.queued):
         broker.cancel(key)
     assert broker.predicted_wait_ms("w") == 0
-    assert broker.submit(make_ask("next"), 0.0) is None
-    (told,) = broker.dispatch(0.0)
-    assert told.key == "next"
+    assert broker.submit(make_request("next"), 0.0) is None
+    (result,) = broker.dispatch(0.0)
+    assert result.key == "next"
 
 
-def test_running_requests_are_counted_again_after_a_change_of_broker():
+def test_a_new_broker_counts_requests_in_flight():
     broker = make_broker(1)
     broker.add_unbrokered(
         UnbrokeredRequest(
@@ -211,30 +210,32 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["ask", "pump", "first", "end", "cancel"]),
+            st.sampled_from(
+                ["submit", "dispatch", "first", "finish", "cancel"]
+            ),
             st.integers(0, 9),
             st.integers(1, 9000),
         ),
         max_size=60,
     )
 )
-def test_counts_come_back_to_nothing_whatever_happens(events):
-    """News that is lost, late or twice must not leave load behind."""
+def test_counters_return_to_zero_after_any_sequence_of_events(events):
+    """Guards against leaked load after lost, late or repeated reports."""
     broker = make_broker(2)
     now = 0.0
-    for what, number, tokens in events:
+    for event, number, tokens in events:
         now += 20.0
         key = f"k{number}"
         known = key in broker.in_flight or key in broker.queued
-        if what == "ask" and not known:
-            broker.submit(make_ask(key, f"w{number % 3}", now, tokens), now)
-        elif what == "pump":
+        if event == "submit" and not known:
+            broker.submit(make_request(key, f"w{number % 3}", now, tokens), now)
+        elif event == "dispatch":
             broker.dispatch(now)
-        elif what == "first":
+        elif event == "first":
             broker.record_first_token(key, now)
-        elif what == "end":
+        elif event == "finish":
             broker.finish(key)
-        elif what == "cancel":
+        elif event == "cancel":
             broker.cancel(key)
     for key in list(broker.queued):
         broker.cancel(key)
@@ -246,45 +247,45 @@
         assert engine.used_memory_tokens == pytest.approx(0, abs=1e-6)
 
 
-def test_kept_parts_count_only_from_the_start_and_the_oldest_goes():
-    kept = PrefixCache(1000)
+def test_only_the_cached_prefix_counts_and_the_oldest_part_is_evicted():
+    cache = PrefixCache(1000)
     a, b, c = (PromptPart(name, 400) for name in "abc")
-    kept.add([a, b])
-    assert kept.leading_tokens([a, b, c]) == 800
-    assert kept.leading_tokens([b, a]) == 800
-    assert kept.leading_tokens([c, a]) == 0
-    kept.add([c])
-    assert kept.leading_tokens([a]) == 0
-    assert kept.tokens <= 1000
+    cache.add([a, b])
+    assert cache.leading_tokens([a, b, c]) == 800
+    assert cache.leading_tokens([b, a]) == 800
+    assert cache.leading_tokens([c, a]) == 0
+    cache.add([c])
+    assert cache.leading_tokens([a]) == 0
+    assert cache.tokens <= 1000
 
 
-def test_a_part_keeps_its_home_while_others_come_and_go():
+def test_a_preferred_engine_stays_when_other_engines_are_removed():
     names = [f"e{number}" for number in range(8)]
-    homes = {f"p{n}": preferred_engine(f"p{n}", names) for n in range(200)}
+    by_part = {f"p{n}": preferred_engine(f"p{n}", names) for n in range(200)}
     moved = [
         part
-        for part, home in homes.items()
-        if home != "e3"
-        and preferred_engine(part, [n for n in names if n != "e3"]) != home
+        for part, preferred in by_part.items()
+        if preferred != "e3"
+        and preferred_engine(part, [n for n in names if n != "e3"]) != preferred
     ]
     assert moved == []
 
 
-def test_without_a_broker_a_prompt_stays_home_until_waiting_costs_more():
+def test_local_placement_leaves_the_preferred_engine_only_for_a_shorter_wait():
     parts = (PromptPart("shared", 6000), PromptPart("own", 500))
     engines = [EngineView("e0", rate=RATE), EngineView("e1", rate=RATE)]
-    home = place_prompt(parts, engines, 0.0004).endpoint
-    busy = next(e for e in engines if e.endpoint == home)
+    preferred = place_prompt(parts, engines, 0.0004).endpoint
+    busy = next(e for e in engines if e.endpoint == preferred)
     busy.prefill_tokens = 50 * RATE
-    assert place_prompt(parts, engines, 0.0004).endpoint == home
+    assert place_prompt(parts, engines, 0.0004).endpoint == preferred
     busy.prefill_tokens = 500 * RATE
     moved = place_prompt(parts, engines, 0.0004)
-    assert moved.endpoint != home
-    assert moved.fetch_from == home
+    assert moved.endpoint != preferred
+    assert moved.fetch_from == preferred
 
 
-def test_a_grant_names_what_is_read():
+def test_a_grant_contains_the_number_of_tokens_to_prefill():
     broker = make_broker(1)
-    broker.submit(make_ask("k"), 0.0)
-    (told,) = broker.dispatch(0.0)
-    assert told == PlacementGrant("k", "e0", "", 2000)
+    broker.submit(make_request("k"), 0.0)
+    (result,) = broker.dispatch(0.0)
+    assert result == PlacementGrant("k", "e0", "", 2000)
--- a/packages/coordination/tests/placement/test_broker_delayed_reports.py
+++ b/packages/coordination/tests/placement/test_broker_delayed_reports.py
@@ -1,4 +1,4 @@
-"""News that a router short of processor sends late."""
+"""Tests of the broker with delayed reports and unresponsive routers."""
 
 import sys
 from pathlib import Path
@@ -11,38 +11,37 @@
 sys.path.insert(0, str(Path(__file__).parent))
 from engine_simulation import (  # noqa: E402
     RATE,
-    make_ask,
     make_broker,
+    make_request,
 )
 
 
 def grant(broker, key, now, tokens=1800):
-    assert broker.submit(make_ask(key, now=now, tokens=tokens), now) is None
-    told = broker.dispatch(now)
-    assert [one.key for one in told] == [key]
+    assert broker.submit(make_request(key, now=now, tokens=tokens), now) is None
+    results = broker.dispatch(now)
+    assert [result.key for result in results] == [key]
 
 
-def test_an_engine_is_not_kept_idle_for_news_that_is_held_up():
-    """A rush at one small gateway makes all engines seem busy.
+def test_a_delayed_report_does_not_keep_an_engine_idle():
+    """Guards against an idle engine that counts as busy.
 
-    It sends its prompt's first token a second late. The engine has read it
-    long since, as a later prompt of another gateway shows; counted as
-    unread, it would keep the engine from its next prompts.
+    The report of one prompt is delayed by a second, but a later prompt shows
+    that its prefill has ended.
     """
     broker = make_broker(1)
     engine = broker.engines["e0"]
-    grant(broker, "held-up", now=0.0)
+    grant(broker, "delayed", now=0.0)
     grant(broker, "later", now=200.0, tokens=300)
     broker.record_first_token("later", 260.0)
     assert engine.wait_ms == 0
-    broker.record_first_token("held-up", 1000.0)
-    broker.finish("held-up")
+    broker.record_first_token("delayed", 1000.0)
+    broker.finish("delayed")
     broker.finish("later")
     assert engine.prefill_tokens == 0
     assert engine.running == 0
 
 
-def test_prompts_granted_about_together_may_be_read_in_any_order():
+def test_prompts_granted_close_together_may_be_prefilled_in_any_order():
     broker = make_broker(1)
     grant(broker, "first", now=0.0, tokens=900)
     grant(broker, "second", now=20.0, tokens=900)
@@ -50,10 +49,10 @@
     assert broker.engines["e0"].wait_ms == pytest.approx(900 / RATE)
 
 
-def test_late_news_does_not_make_an_engine_seem_slow():
-    """Callers are refused though the engines are half idle.
+def test_delayed_reports_do_not_lower_the_estimated_rate():
+    """Guards against refusals while engines are idle.
 
-    All first tokens of one gateway are told 700 ms late, and it says so.
+    All reports of one router arrive 700 ms late and are marked as delayed.
     """
     broker = make_broker(1)
     engine = broker.engines["e0"]
@@ -66,37 +65,37 @@
     assert engine.wait_ms == 0
 
 
-def test_a_refusal_says_for_how_long_it_holds():
+def test_a_refusal_contains_the_excess_wait():
     broker = make_broker(1)
     refused, number = None, 0
     while refused is None:
         number += 1
-        refused = broker.submit(make_ask(f"k{number}", now=0.0), 0.0)
+        refused = broker.submit(make_request(f"k{number}", now=0.0), 0.0)
         broker.dispatch(0.0)
     assert 0 < refused.over_ms < 2000 / RATE
 
 
-def ask_from(broker, router, key, now=0.0):
-    ask = make_ask(key, now=now, tokens=1800, router=router)
-    assert broker.submit(ask, now) is None
+def submit_from(broker, router, key, now=0.0):
+    request = make_request(key, now=now, tokens=1800, router=router)
+    assert broker.submit(request, now) is None
 
 
 def granted(broker, now):
-    return [one.key for one in broker.dispatch(now)]
+    return [grant.key for grant in broker.dispatch(now)]
 
 
-def test_prompts_of_a_silent_router_do_not_count_as_being_read():
-    """Guards against: all are refused while the engines are idle, because a
-    router without processor has not sent what it was granted.
+def test_prompts_of_an_unresponsive_router_do_not_count_as_backlog():
+    """Guards against refusals while engines are idle because a router has not
+    sent the requests that it was granted.
     """
     broker = make_broker(1)
     engine = broker.engines["e0"]
     for number in range(3):
-        ask_from(broker, "silent", f"s{number}")
+        submit_from(broker, "unresponsive", f"s{number}")
     assert granted(broker, 0.0) == ["s0", "s1"]
-    ask_from(broker, "sound", "k", now=100.0)
+    submit_from(broker, "responsive", "k", now=100.0)
     assert granted(broker, 100.0) == []
-    broker.suspend("silent", 300.0)
+    broker.suspend("unresponsive", 300.0)
     assert granted(broker, 300.0) == ["k"]
     broker.record_first_token("s0", 900.0)
     assert engine.wait_ms == pytest.approx(1800 / RATE)
@@ -105,111 +104,111 @@
     assert engine.running == 1
 
 
-def test_requests_of_a_silent_router_wait_outside_of_the_lines():
+def test_requests_of_an_unresponsive_router_leave_their_queues():
     broker = make_broker(1)
     for number in range(4):
-        ask_from(broker, "silent", f"s{number}")
+        submit_from(broker, "unresponsive", f"s{number}")
     broker.dispatch(0.0)
-    broker.suspend("silent", 300.0)
+    broker.suspend("unresponsive", 300.0)
     assert granted(broker, 300.0) == []
     assert broker.predicted_wait_ms("w") == 0
     broker.cancel("s3")
-    broker.resume("silent")
+    broker.resume("unresponsive")
     assert granted(broker, 310.0) == ["s2"]
     assert not broker.suspended
 
 
-def test_a_request_of_a_silent_router_is_refused_when_its_time_is_over():
+def test_a_request_of_an_unresponsive_router_expires_at_its_deadline():
     broker = make_broker(1)
     for number in range(3):
-        ask_from(broker, "silent", f"s{number}")
+        submit_from(broker, "unresponsive", f"s{number}")
     broker.dispatch(0.0)
-    broker.suspend("silent", 300.0)
-    assert [one.key for one in broker.expire(5000.0)] == ["s2"]
-    broker.resume("silent")
+    broker.suspend("unresponsive", 300.0)
+    assert [refused.key for refused in broker.expire(5000.0)] == ["s2"]
+    broker.resume("unresponsive")
     assert granted(broker, 5001.0) == []
 
 
-def test_a_request_that_waits_again_is_granted_once():
-    """Guards against: a line that keeps the entry of a request that left it,
-    and serves it twice when its router is heard again.
+def test_a_request_that_is_queued_again_is_granted_once():
+    """Guards against granting a request twice, because its removed entry is
+    still in the queue's heap when its router resumes.
     """
     broker = make_broker(1)
     for number in range(3):
-        ask_from(broker, "silent", f"s{number}", now=float(number))
+        submit_from(broker, "unresponsive", f"s{number}", now=float(number))
     assert granted(broker, 2.0) == ["s0", "s1"]
-    ask_from(broker, "sound", "k", now=1.0)
-    broker.suspend("silent", 2.0)
-    broker.resume("silent")
+    submit_from(broker, "responsive", "k", now=1.0)
+    broker.suspend("unresponsive", 2.0)
+    broker.resume("unresponsive")
     assert sorted(granted(broker, 3.0)) == ["k", "s2"]
     assert broker.queues["w"].tokens == 0
 
 
 def test_prompts_sent_without_a_grant_count_for_their_workspace():
-    """Guards against: a workspace is served before the others though more of
-    its requests were sent past the line.
+    """Guards against a workspace that exceeds its share with requests sent
+    without a grant.
     """
     broker = make_broker(1)
     for key in ("running-0", "running-1"):
-        ask_from(broker, "sound", key)
+        submit_from(broker, "responsive", key)
     assert granted(broker, 0.0) == ["running-0", "running-1"]
-    for workspace in ("flood", "small"):
-        ask = make_ask(workspace, workspace, now=0.0, tokens=300)
-        assert broker.submit(ask, 0.0) is None
+    for workspace in ("excess", "small"):
+        request = make_request(workspace, workspace, now=0.0, tokens=300)
+        assert broker.submit(request, 0.0) is None
     for number in range(3):
         sent = UnbrokeredRequest(
-            key=f"past-{number}",
+            key=f"unbrokered-{number}",
             endpoint="e0",
             prefill_tokens=300,
             memory_tokens=350,
-            workspace="flood",
+            workspace="excess",
             output_tokens=50,
-            router="late",
+            router="lagging",
         )
         broker.add_unbrokered(sent, 0.0)
-    broker.suspend("late", 100.0)
+    broker.suspend("lagging", 100.0)
     broker.record_first_token("running-0", 100.0)
-    assert granted(broker, 100.0) == ["small", "flood"]
+    assert granted(broker, 100.0) == ["small", "excess"]
 
 
-def test_a_late_router_does_not_keep_engines_idle():
-    """Guards against: engines stand idle for as long as a router needs to
-    send what it was granted, and to tell that it was read.
+def test_a_lagging_router_does_not_keep_engines_idle():
+    """Guards against idle engines that wait for the delayed requests and
+    reports of a lagging router.
     """
     broker = make_broker(1)
-    broker.set_lagging("late", True)
+    broker.set_lagging("lagging", True)
     for number in range(2):
-        ask_from(broker, "late", f"l{number}")
+        submit_from(broker, "lagging", f"l{number}")
     assert granted(broker, 0.0) == ["l0", "l1"]
-    ask_from(broker, "sound", "k", now=1.0)
+    submit_from(broker, "responsive", "k", now=1.0)
     assert granted(broker, 70.0) == []
     assert granted(broker, 100.0 + FIRST_TOKEN_LATENCY_MS) == ["k"]
 
 
-def test_an_engine_that_is_slow_gets_no_more_from_routers_in_time():
+def test_a_slow_engine_gets_no_more_requests_from_other_routers():
     broker = make_broker(1)
     for number in range(3):
-        ask_from(broker, "sound", f"s{number}")
+        submit_from(broker, "responsive", f"s{number}")
     assert granted(broker, 0.0) == ["s0", "s1"]
     assert granted(broker, 500.0) == []
 
 
-def test_prompts_of_a_late_router_do_not_make_an_engine_seem_slow():
-    """Guards against: an engine that waits for a late router's prompt is
-    taken to be reading it, and its learnt rate falls with each run.
+def test_prompts_of_a_lagging_router_do_not_lower_the_estimated_rate():
+    """Guards against counting the wait for a delayed request as prefill time,
+    which would lower the estimate further and further.
     """
     broker = make_broker(1)
     engine = broker.engines["e0"]
-    broker.set_lagging("late", True)
+    broker.set_lagging("lagging", True)
     for number in range(40):
         now = number * 200.0
-        for router in ("late", "sound"):
-            ask_from(broker, router, f"{router}-{number}", now=now)
+        for router in ("lagging", "responsive"):
+            submit_from(broker, router, f"{router}-{number}", now=now)
         broker.dispatch(now)
-        broker.record_first_token(f"sound-{number}", now + 150.0)
-        broker.finish(f"sound-{number}")
+        broker.record_first_token(f"responsive-{number}", now + 150.0)
+        broker.finish(f"responsive-{number}")
         broker.record_first_token(
-            f"late-{number}", now + 190.0, is_timely=False
+            f"lagging-{number}", now + 190.0, is_timely=False
         )
-        broker.finish(f"late-{number}")
+        broker.finish(f"lagging-{number}")
     assert engine.rate == pytest.approx(RATE)
--- a/packages/coordination/tests/placement/test_broker_engine_choice.py
+++ b/packages/coordination/tests/placement/test_broker_engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine a prompt goes to, and who is ahead of it, under named loads."""
+"""Tests of the broker's choice of engine and of its predicted waits."""
 
 import itertools
 import sys
@@ -13,146 +13,152 @@
 sys.path.insert(0, str(Path(__file__).parent))
 from engine_simulation import (  # noqa: E402
     RATE,
-    make_ask,
     make_broker,
+    make_request,
 )
 
 GUIDE = PromptPart("guide", 6000)
 
 
-def grant(broker, ask, now=0.0):
-    """Asks and returns the grant; the request ends at once."""
-    assert broker.submit(ask, now) is None
-    (told,) = broker.dispatch(now)
-    broker.record_first_token(ask.key, now)
-    broker.finish(ask.key)
-    return told
+def grant(broker, request, now=0.0):
+    """Returns the grant of a request that ends at once."""
+    assert broker.submit(request, now) is None
+    (result,) = broker.dispatch(now)
+    broker.record_first_token(request.key, now)
+    broker.finish(request.key)
+    return result
 
 
 def test_an_urgent_short_prompt_is_not_refused_behind_long_ones():
-    """Chats are refused in a rush though they would be on time.
+    """Guards against refusals because of requests that are due later.
 
-    Long prompts due in 800 ms wait for 500 ms. A chat of the same workspace
-    is due in 400 ms: it goes before them all, so it waits for nobody, and
-    the little that it reads makes none of them late.
+    Long prompts due in 800 ms fill the queue for more than 400 ms. A short
+    prompt of the same workspace, due in 400 ms, is served before them.
     """
     broker = make_broker(1)
     for number in range(12):
-        ask = make_ask(f"long-{number}", tokens=1800)
-        assert not isinstance(broker.submit(ask, 0.0), PlacementRefusal)
+        request = make_request(f"long-{number}", tokens=1800)
+        assert not isinstance(broker.submit(request, 0.0), PlacementRefusal)
         broker.dispatch(0.0)
     assert broker.predicted_wait_ms("w") > 400
-    chat = make_ask("chat", tokens=400, first_token_due_at=400.0)
-    assert broker.submit(chat, 0.0) is None
+    urgent = make_request("urgent", tokens=400, first_token_due_at=400.0)
+    assert broker.submit(urgent, 0.0) is None
 
 
-def test_a_later_prompt_still_counts_the_urgent_ones_ahead():
+def test_the_predicted_wait_includes_requests_that_are_due_earlier():
     broker = make_broker(1)
     for number in range(12):
         broker.submit(
-            make_ask(f"chat-{number}", tokens=1500, first_token_due_at=700.0),
+            make_request(
+                f"urgent-{number}", tokens=1500, first_token_due_at=700.0
+            ),
             0.0,
         )
     assert broker.predicted_wait_ms("w", 800.0) > 400
 
 
-def test_a_prompt_waits_a_moment_at_home_rather_than_be_copied():
-    """Parts are read again because copies of others pushed them out.
+def test_a_short_wait_is_preferred_to_a_copy_of_cached_parts():
+    """Guards against copies that evict other cached parts.
 
-    The engine that keeps the guide is busy for 50 ms. Another is idle; a
-    copy there would serve this one prompt sooner and take the memory of
-    dozens of others' parts.
+    The engine with the cached part is busy for 50 ms, the other is idle.
     """
     broker = make_broker(2)
-    home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
+    preferred = grant(broker, make_request("first", shared=(GUIDE,))).endpoint
     broker.add_unbrokered(
         UnbrokeredRequest(
-            key="busy", endpoint=home, prefill_tokens=50 * RATE, memory_tokens=0
+            key="busy",
+            endpoint=preferred,
+            prefill_tokens=50 * RATE,
+            memory_tokens=0,
         ),
         0.0,
     )
-    told = grant(broker, make_ask("second", shared=(GUIDE,)))
-    assert told.endpoint == home
-    assert told.fetch_from == ""
+    result = grant(broker, make_request("second", shared=(GUIDE,)))
+    assert result.endpoint == preferred
+    assert result.fetch_from == ""
 
 
-def test_a_prompt_is_copied_when_its_home_is_too_busy():
+def test_cached_parts_are_copied_when_the_wait_is_too_long():
     broker = make_broker(2)
-    home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
+    preferred = grant(broker, make_request("first", shared=(GUIDE,))).endpoint
     broker.add_unbrokered(
         UnbrokeredRequest(
             key="busy",
-            endpoint=home,
+            endpoint=preferred,
             prefill_tokens=200 * RATE,
             memory_tokens=0,
         ),
         0.0,
     )
-    told = grant(broker, make_ask("second", shared=(GUIDE,)))
-    assert told.endpoint != home
-    assert told.fetch_from == home
+    result = grant(broker, make_request("second", shared=(GUIDE,)))
+    assert result.endpoint != preferred
+    assert result.fetch_from == preferred
 
 
-def test_a_new_broker_finds_parts_where_the_old_one_put_them():
-    """All shared parts are read again after a change of broker.
+def test_a_new_broker_chooses_the_same_engines_as_the_old_one():
+    """Guards against cache misses for all shared parts on a change of broker.
 
-    A broker takes over with no knowledge of what engines keep. Both place a
-    part that nobody is known to keep at its home, so it is still there.
+    A new broker knows of no cached parts, so it uses the preferred engine.
     """
     parts = [PromptPart(f"guide-{n}", 4000) for n in range(20)]
     old, new = make_broker(5), make_broker(5)
     numbers = itertools.count()
 
-    def places(broker):
+    def chosen(broker):
         return [
             grant(
-                broker, make_ask(f"k{next(numbers)}", shared=(part,))
+                broker, make_request(f"k{next(numbers)}", shared=(part,))
             ).endpoint
             for part in parts
         ]
 
-    assert places(old) == places(new)
-    assert len(set(places(old))) > 2
+    assert chosen(old) == chosen(new)
+    assert len(set(chosen(old))) > 2
 
 
-def test_a_prompt_waits_for_its_home_while_others_use_the_idle_engine():
-    """Every second prompt of a rush moves its shared parts to another engine.
+def test_a_prompt_waits_for_its_cache_while_others_use_the_idle_engine():
+    """Guards against copies whenever an engine reaches its maximum backlog.
 
-    Home has its 60 ms of reading at hand and takes no more for a moment. A
-    copy elsewhere costs as much as waiting 68 ms, so the request stays; one
-    that has nothing kept anywhere goes to the idle engine meanwhile.
+    A copy costs as much as a wait of 68 ms, so a backlog of 65 ms is waited
+    for. A request without cached parts uses the idle engine meanwhile.
     """
     broker = make_broker(2)
-    home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
+    preferred = grant(broker, make_request("first", shared=(GUIDE,))).endpoint
     broker.add_unbrokered(
         UnbrokeredRequest(
-            key="busy", endpoint=home, prefill_tokens=65 * RATE, memory_tokens=0
+            key="busy",
+            endpoint=preferred,
+            prefill_tokens=65 * RATE,
+            memory_tokens=0,
         ),
         0.0,
     )
-    assert broker.submit(make_ask("same-guide", shared=(GUIDE,)), 0.0) is None
+    assert (
+        broker.submit(make_request("same-guide", shared=(GUIDE,)), 0.0) is None
+    )
     assert broker.dispatch(0.0) == []
-    assert broker.submit(make_ask("other", workspace="x"), 0.0) is None
-    (told,) = broker.dispatch(0.0)
-    assert (told.key, told.endpoint != home) == ("other", True)
+    assert broker.submit(make_request("other", workspace="x"), 0.0) is None
+    (result,) = broker.dispatch(0.0)
+    assert (result.key, result.endpoint != preferred) == ("other", True)
     broker.record_first_token("busy", 1.0)
-    (told,) = broker.dispatch(1.0)
-    assert (told.key, told.endpoint) == ("same-guide", home)
-
+    (result,) = broker.dispatch(1.0)
+    assert (result.key, result.endpoint) == ("same-guide", preferred)
 
-def test_an_engine_without_room_for_a_prompt_does_not_hold_it_up():
-    """A large prompt would wait for ever for memory at its home.
 
-    Home's memory is full of running requests for seconds. Waiting for it
-    is not a matter of some ms, so the prompt goes elsewhere.
+def test_a_prompt_does_not_wait_for_an_engine_without_free_memory():
+    """Guards against waiting for memory that running requests occupy for
+    seconds.
     """
     broker = make_broker(2)
-    home = grant(broker, make_ask("first", shared=(GUIDE,))).endpoint
+    preferred = grant(broker, make_request("first", shared=(GUIDE,))).endpoint
     broker.add_unbrokered(
         UnbrokeredRequest(
-            key="long", endpoint=home, prefill_tokens=0, memory_tokens=230_000
+            key="long",
+            endpoint=preferred,
+            prefill_tokens=0,
+            memory_tokens=230_000,
         ),
         0.0,
     )
-    told = grant(broker, make_ask("second", shared=(GUIDE,)))
-    assert told.endpoint != home
+    result = grant(broker, make_request("second", shared=(GUIDE,)))
+    assert result.endpoint != preferred
--- a/packages/coordination/tests/placement/test_broker_retries.py
+++ b/packages/coordination/tests/placement/test_broker_retries.py
@@ -1,4 +1,4 @@
-"""When refused callers come back, under a rush that lasts for seconds."""
+"""Tests of the retry delay of refusals during several seconds of overload."""
 
 import random
 import sys
@@ -7,57 +7,60 @@
 sys.path.insert(0, str(Path(__file__).parent))
 from engine_simulation import (  # noqa: E402
     Simulation,
-    arrivals_of,
-    make_ask,
     make_broker,
+    make_request,
+    poisson_arrivals,
 )
 
-SPREAD = 0.25
+JITTER = 0.25
 CALLER_DEADLINE_MS = 5000.0
 
 
-def play_with_returns(simulation, arrivals, seed=1):
-    """Plays arrivals; refused callers come back once, when they were told.
+def run_with_retries(simulation, arrivals, seed=1):
+    """Runs arrivals; refused requests are retried once, after their delay.
 
-    They wait a third of their time at the most. Returns the keys of those
-    that came back.
+    The delay is limited to a third of the deadline. Returns the keys of the
+    retries.
     """
     rng = random.Random(seed)
     queue = sorted(arrivals, key=lambda pair: pair[0])
-    returned = set()
+    retried = set()
     while queue:
-        at, ask = queue.pop(0)
-        simulation.play([(at, ask)], settle_ms=0.0)
+        at, request = queue.pop(0)
+        simulation.run([(at, request)], settle_ms=0.0)
         for key, refused in list(simulation.refused.items()):
-            back = f"{key}-again"
-            if key.endswith("-again") or back in returned:
+            retry = f"{key}-retry"
+            if key.endswith("-retry") or retry in retried:
                 continue
-            returned.add(back)
-            wait = refused.retry_after_ms * rng.uniform(1 - SPREAD, 1 + SPREAD)
-            again_at = at + min(wait, CALLER_DEADLINE_MS / 3)
-            queue.append((again_at, make_ask(back, "w", again_at)))
+            retried.add(retry)
+            delay_ms = refused.retry_after_ms * rng.uniform(
+                1 - JITTER, 1 + JITTER
+            )
+            retry_at = at + min(delay_ms, CALLER_DEADLINE_MS / 3)
+            queue.append((retry_at, make_request(retry, "w", retry_at)))
         queue.sort(key=lambda pair: pair[0])
     simulation.run_until(simulation.now + 60_000.0)
-    return returned
+    return retried
 
 
-def test_callers_refused_in_a_rush_find_room_when_they_come_back():
-    """Refused callers return into the same rush and are refused again.
+def test_most_retries_after_a_burst_are_served():
+    """Guards against retries that arrive while the overload lasts.
 
-    For two seconds twice as much arrives as engines read. A line is half a
-    second long at the most, so who returns after the time that the line
-    would have taken returns into the rush, all for nothing.
+    Twice the capacity arrives for two seconds, but the queue is never longer
+    than half a second, so the predicted wait is too short as a delay.
     """
     simulation = Simulation(make_broker(2))
-    rush = arrivals_of({"w": (72, 2000)}, 2)
+    burst = poisson_arrivals({"w": (72, 2000)}, 2)
     calm = [
         (
             at + 2000.0,
-            make_ask(f"calm-{n}", "w", at + 2000.0, ask.prompt_tokens),
+            make_request(f"calm-{n}", "w", at + 2000.0, request.prompt_tokens),
+        )
+        for n, (at, request) in enumerate(
+            poisson_arrivals({"w": (12, 2000)}, 4)
         )
-        for n, (at, ask) in enumerate(arrivals_of({"w": (12, 2000)}, 4))
     ]
-    returned = play_with_returns(simulation, rush + calm)
-    served = [key for key in returned if key in simulation.first_ms]
-    assert len(returned) > 20
-    assert len(served) >= 0.6 * len(returned)
+    retried = run_with_retries(simulation, burst + calm)
+    served = [key for key in retried if key in simulation.first_token_ms]
+    assert len(retried) > 20
+    assert len(served) >= 0.6 * len(retried)
--- a/packages/coordination/tests/placement/test_broker_selection.py
+++ b/packages/coordination/tests/placement/test_broker_selection.py
@@ -1,4 +1,4 @@
-"""Who may broker, while routers come and go."""
+"""Tests of the selection of brokers while candidates change."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,30 +14,28 @@
     return BrokerCandidate(name, f"at-{name}", capacity)
 
 
-def test_routers_that_come_in_later_do_not_take_the_place():
-    """All routers change their broker several times after a restart.
-
-    The fleet starts again and routers come in one by one, the last by name
-    first. The first one named goes on.
+def test_later_candidates_do_not_replace_the_first_broker():
+    """Guards against a change of broker with each router that joins after a
+    restart.
     """
-    choice = BrokerSelector()
-    able = []
+    selector = BrokerSelector()
+    candidates = []
     for name in ("d", "c", "b", "a"):
-        able.append(candidate(name))
-        assert choice.choose(able)[0] == "at-d"
+        candidates.append(candidate(name))
+        assert selector.choose(candidates)[0] == "at-d"
 
 
-def test_a_larger_host_takes_over_from_a_small_one():
-    choice = BrokerSelector()
-    assert choice.choose([candidate("small", 0.3)]) == ["at-small"]
+def test_a_much_larger_candidate_replaces_the_first_broker():
+    selector = BrokerSelector()
+    assert selector.choose([candidate("small", 0.3)]) == ["at-small"]
     both = [candidate("small", 0.3), candidate("large", 1.0)]
-    assert choice.choose(both) == ["at-large", "at-small"]
+    assert selector.choose(both) == ["at-large", "at-small"]
 
 
-def test_the_next_one_takes_over_when_the_first_is_gone():
-    choice = BrokerSelector()
-    choice.choose([candidate("a"), candidate("b"), candidate("c")])
-    assert choice.choose([candidate("c"), candidate("b")])[0] == "at-b"
+def test_the_next_broker_succeeds_one_that_is_no_longer_a_candidate():
+    selector = BrokerSelector()
+    selector.choose([candidate("a"), candidate("b"), candidate("c")])
+    assert selector.choose([candidate("c"), candidate("b")])[0] == "at-b"
 
 
 @given(
@@ -48,10 +46,12 @@
         max_size=8,
     )
 )
-def test_only_who_is_able_is_named_and_each_once(rounds):
-    choice = BrokerSelector()
-    for able in rounds:
-        named = choice.choose(candidate(n, c) for n, c in able.items())
-        assert len(set(named)) == len(named)
-        assert set(named) <= {f"at-{name}" for name in able}
-        assert len(named) == min(len(able), MAX_BROKERS)
+def test_only_candidates_are_selected_and_each_once(rounds):
+    selector = BrokerSelector()
+    for candidates in rounds:
+        selected = selector.choose(
+            candidate(n, c) for n, c in candidates.items()
+        )
+        assert len(set(selected)) == len(selected)
+        assert set(selected) <= {f"at-{name}" for name in candidates}
+        assert len(selected) == min(len(candidates), MAX_BROKERS)
