--- a/packages/coordination/src/marjoramyard/coordination/placement/broker.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker.py
@@ -40,8 +40,8 @@
 take. The rest covers errors of the prediction: under overload, waits are
 close to the limit."""
 LARGE_PROMPT_SLACK_MS = 300.0
-"""Time that a prompt may wait whose prefill alone exceeds its objective. With
-no such time, the largest prompts would always be refused."""
+"""Permitted wait of a prompt whose prefill alone exceeds its objective.
+Without it, the largest prompts would always be refused."""
 MAX_DEFERRED = 4
 """The maximum number of requests deferred in one round of dispatching. Each
 of them costs an evaluation of all engines."""
@@ -55,7 +55,8 @@
     Attributes:
         queues: The queued requests of each workspace.
         virtual_time: The service that each workspace has received, in
-            prefill tokens, raised to that of the others when it was idle.
+            prefill tokens. After an idle period it is raised to the minimum
+            of the active workspaces.
         queued: All queued requests, by key.
         suspended: Queued requests of unresponsive routers, by key. They are
             in no queue.
@@ -125,10 +126,10 @@
         return max(1.0, request.prompt_tokens - cached)
 
     def _raise_virtual_time(self, workspace: str) -> None:
-        """Raises the virtual time of an idle workspace to that of the others.
+        """Raises a workspace's virtual time to the minimum of the active ones.
 
-        A workspace can't save up service while it is idle; else it would
-        block the others until it has caught up.
+        A workspace must not accumulate a claim to service while it is idle;
+        it would block the others until it has caught up.
         """
         active = [
             self.virtual_time.get(name, 0.0)
@@ -147,9 +148,9 @@
     ) -> float:
         """Returns the predicted wait of a new request until its prefill.
 
-        Ahead of it are the requests of its own workspace that are due no
-        later, and those that other workspaces are served before their
-        virtual time reaches that of the new request.
+        Ahead of it are requests of its own workspace that are due no later,
+        and requests of other workspaces until their virtual time reaches the
+        one at which the new request will be served.
 
         Args:
             workspace: The workspace of the request.
@@ -231,10 +232,10 @@
         self._dequeue(key)
 
     def suspend(self, router: str, now: float) -> None:
-        """Sets the requests of an unresponsive router aside.
+        """Excludes the requests of an unresponsive router from scheduling.
 
-        The router may not have sent the requests that it was granted, and
-        would not send further ones soon. Its prompts in flight count as
+        The router may not have sent the requests that it was granted,
+        and would not send further ones soon. Its prompts in flight count as
         prefilled, so that engines don't idle, and its queued requests leave
         their queues until `resume`.
         """
@@ -341,8 +342,8 @@
 
         Returns:
             The grant, or None if no engine has capacity or if the cheapest
-            one has enough prompts to prefill for now. In this case waiting
-            for it costs less than going elsewhere.
+            one has reached its maximum backlog. Waiting for it then costs
+            less than using another engine.
         """
         usable = [
             engine
--- a/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/broker_selection.py
@@ -29,8 +29,9 @@
 class BrokerSelector:
     """Selects brokers, and keeps their order as long as they are candidates.
 
-    Without a memory of the last selection, routers that join one by one
-    after a restart could each become the first broker in turn.
+    Only a candidate with much more capacity moves ahead of them. Sorting by
+    capacity and name alone would change the first broker several times
+    while routers join after a restart.
 
     Attributes:
         selected: The last selection, first broker first.
--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -10,8 +10,8 @@
 from marjoramyard.coordination.routing.config import EngineProfile
 
 ORDER_TOLERANCE_MS = 150.0
-"""Prompts granted further apart than this are prefilled in order. Closer
-ones may reach the engine in any order."""
+"""Prompts granted further apart than this are assumed to be prefilled in
+order. Others may reach the engine in any order."""
 
 
 class EnginePool:
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -6,9 +6,9 @@
 from marjoramyard.coordination.routing.config import EngineProfile
 
 MAX_BACKLOG_MS = 60.0
-"""Prefill time up to which an engine gets further requests. It covers the
-delay between a first token and the arrival of the next request; the rest
-stays in the broker's queue, where it can still be reordered."""
+"""Expected prefill time up to which an engine gets further requests. It covers
+the delay between a first token and the arrival of the next request. Further
+requests stay in the broker's queue, where they can still be reordered."""
 USABLE_SLOT_FRACTION = 0.95
 """Fraction of an engine's slots to use; the rest covers reports in transit."""
 USABLE_MEMORY_FRACTION = 0.85
@@ -34,7 +34,7 @@
         endpoint: The engine.
         prefill_tokens: Prompt tokens that the engine has to prefill.
         memory_tokens: The engine memory that the request occupies.
-        granted_at: When the request was granted, in ms.
+        granted_at: When the request was granted or reported, in ms.
         is_prefilling: Whether the prompt counts as not prefilled yet.
         router: The router that sends the request.
         prefill_due_at: When the first token is expected, in ms.
@@ -65,7 +65,7 @@
         used_memory_tokens: Memory occupied by its requests in flight.
         sample_started_at: When the current sample of the rate began, in ms.
         sample_tokens: Tokens prefilled during the current sample.
-        is_sample_valid: Whether delays have left the sample undistorted.
+        is_sample_valid: Whether the sample has no delayed request or report.
         is_usable: Whether it may get new requests.
     """
 
@@ -122,11 +122,11 @@
     def start_prefill(
         self, tokens: float, now: float, is_timely: bool = True
     ) -> None:
-        """Adds the prompt of a request that was granted.
+        """Adds the prompt of a request that is being sent.
 
         Args:
             tokens: Prompt tokens to prefill.
-            now: When the request was granted, in ms.
+            now: When the request was granted or reported, in ms.
             is_timely: Whether the router sends the request without delay.
         """
         if self.prefill_tokens <= 0:
--- a/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/local_placement.py
@@ -2,8 +2,8 @@
 
 An engine caches the parts of prompts that it has prefilled, so requests with
 shared parts should go to the same engine. Each shared part has a preferred
-engine, which all routers compute alike without communicating. A request goes
-elsewhere only if waiting for its preferred engine would take too long.
+engine, which every router computes on its own. A request goes elsewhere only
+if waiting for its preferred engine would take too long.
 """
 
 import hashlib
--- a/packages/coordination/src/marjoramyard/coordination/placement/plans.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/plans.py
@@ -21,7 +21,7 @@
 NOT_PREFERRED_MS = 60.0
 """Cost of an engine other than the preferred one, if no engine is known to
 have cached the prompt. A new broker knows of no cached parts, but those that
-were placed by preference are likely to be still there."""
+were placed by preference are probably still cached."""
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/packages/coordination/src/marjoramyard/coordination/placement/requests.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/requests.py
@@ -96,11 +96,11 @@
 
 
 class PlacementRefusal(msgspec.Struct, frozen=True):
-    """Refusal of a request that would miss its objective or its deadline.
+    """Refusal of a request that misses its objective or its deadline.
 
     Attributes:
         key: The request.
-        retry_after_ms: When the caller should retry.
+        retry_after_ms: Time after which the caller should retry.
         predicted_ms: Predicted time to the first token; for a request that
             was queued, the time it has waited.
         over_ms: By how much the predicted wait exceeds the limit. A queue
