--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -125,11 +125,11 @@
         ended.
         """
         for broker in self.brokers.values():
-            broker.set_late(gateway.name, False)
+            broker.set_lagging(gateway.name, False)
         for number, service in gateway.requests.items():
             broker = self.brokers[service]
             broker.cancel(gateway.key(number))
-            broker.ended(gateway.key(number))
+            broker.finish(gateway.key(number))
         self._schedule_dispatch()
 
     def _broker(self, service: str) -> Broker | None:
@@ -153,7 +153,7 @@
     ) -> None:
         if isinstance(message, Heartbeat):
             for broker in self.brokers.values():
-                broker.set_late(gateway.name, message.is_late)
+                broker.set_lagging(gateway.name, message.is_late)
             return
         if isinstance(message, PlaceRequest):
             self._submit(gateway, message)
@@ -167,22 +167,22 @@
         broker = self.brokers[service]
         key = gateway.key(message.number)
         if isinstance(message, FirstToken):
-            broker.first_token(key, _now(), not message.is_late)
+            broker.record_first_token(key, _now(), not message.is_late)
         elif isinstance(message, Withdraw):
             broker.cancel(key)
-            broker.ended(key)
+            broker.finish(key)
             del gateway.requests[message.number]
         elif isinstance(message, Finished):
             self._on_finished(broker, key, message)
             del gateway.requests[message.number]
 
     def _on_finished(self, broker: Broker, key: str, message: Finished) -> None:
-        in_flight = broker.flights.get(key)
+        in_flight = broker.in_flight.get(key)
         if in_flight is not None and message.failed:
-            self.view.health_of(in_flight.engine).record_failure(
+            self.view.health_of(in_flight.endpoint).record_failure(
                 time.monotonic()
             )
-        broker.ended(key)
+        broker.finish(key)
 
     def _submit(
         self, gateway: GatewayConnection, message: PlaceRequest
@@ -197,13 +197,13 @@
             workspace=message.workspace,
             parts=message.prompt(),
             output_tokens=message.output_tokens,
-            aim_at=now + message.due_ms,
-            give_up_at=now + message.left_ms,
-            asked_at=now,
-            without=frozenset(message.without),
+            first_token_due_at=now + message.due_ms,
+            deadline_at=now + message.left_ms,
+            submitted_at=now,
+            excluded_endpoints=frozenset(message.without),
             router=gateway.name,
         )
-        refusal = broker.ask(placement_request, now)
+        refusal = broker.submit(placement_request, now)
         if refusal is not None:
             self._send_refusal(gateway, message.number, refusal)
         else:
@@ -218,13 +218,13 @@
             unbrokered = UnbrokeredRequest(
                 key=gateway.key(message.number),
                 endpoint=message.endpoint,
-                tokens=message.tokens,
-                memory=message.memory,
+                prefill_tokens=message.tokens,
+                memory_tokens=message.memory,
                 workspace=message.workspace,
                 output_tokens=message.output_tokens,
                 router=gateway.name,
             )
-            broker.adopt(unbrokered, _now())
+            broker.add_unbrokered(unbrokered, _now())
 
     @staticmethod
     def _send_refusal(
@@ -250,7 +250,7 @@
         for service, broker in self.brokers.items():
             if self._broker(service) is None:
                 continue
-            for decision in [*broker.overdue(now), *broker.pump(now)]:
+            for decision in [*broker.expire(now), *broker.dispatch(now)]:
                 self._notify(decision)
         for gateway in self.gateways.values():
             self._flush(gateway)
@@ -267,7 +267,10 @@
             return
         gateway.outbox.append(
             PlaceGrant(
-                number, decision.endpoint, decision.fetch_from, decision.tokens
+                number,
+                decision.endpoint,
+                decision.fetch_from,
+                decision.prefill_tokens,
             )
         )
 
@@ -290,7 +293,7 @@
                         "broker_load",
                         service=service,
                         wait_ms=round(broker.mean_wait_ms),
-                        rate=round(broker.total_rate),
+                        rate=round(broker.total_prefill_rate),
                         suspended=len(broker.suspended),
                         **counts,
                     )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/engine_load.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/engine_load.py
@@ -64,11 +64,11 @@
         self.tokens = tokens
         self.on_prefilled: Callable[[], None] | None = None
         engine.running += 1
-        engine.reading_tokens += tokens
+        engine.prefill_tokens += tokens
 
     def finish_prefill(self) -> None:
         """Records that the first token has arrived."""
-        self.engine.reading_tokens -= self.tokens
+        self.engine.prefill_tokens -= self.tokens
         self.tokens = 0.0
         if self.on_prefilled is not None:
             self.on_prefilled()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -260,7 +260,7 @@
             by_id[placement.endpoint],
             source.address if source is not None else "",
             self._last_event_id(),
-            placement.tokens,
+            placement.prefill_tokens,
             broker_number,
         )
 
