--- a/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
@@ -1,30 +1,39 @@
-"""Elects a leader, after asking whether an election would succeed."""
+"""Leader election with pre-vote and leadership transfer."""
 
 from marjoramyard.coordination.consensus.messages import (
     EntryKind,
     VoteReply,
     VoteRequest,
 )
-from marjoramyard.coordination.consensus.replica import NOBODY, Progress, Role
+from marjoramyard.coordination.consensus.replica import (
+    NO_REPLICA,
+    Progress,
+    Role,
+)
 from marjoramyard.coordination.consensus.replication import Replication
 from marjoramyard.kernel.ids import ReplicaId
 
 
 class Elections(Replication):
-    """Votes asked for, given and counted."""
+    """Requests, grants and counts votes."""
 
     def _campaign(self, pre: bool, transfer: bool = False) -> None:
-        """Asks for votes; first only whether they would be given.
+        """Starts a pre-vote or an election.
+
+        A pre-vote does not raise the term, so a replica that rejoins after a
+        partition does not depose a working leader.
 
-        The pre-vote keeps a replica that comes back from a cut from raising
-        the term and so deposing a leader that serves everybody else.
+        Args:
+            pre: Whether this is a pre-vote.
+            transfer: Whether the leader asked for the election; voters then
+                reply even while they are in contact with it.
         """
-        self.leader = NOBODY
+        self.leader = NO_REPLICA
         self.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
         if not pre:
             self.term += 1
-            self.vote = self.me
-        self.votes = {self.me: True}
+            self.vote = self.replica_id
+        self.votes = {self.replica_id: True}
         request = VoteRequest(
             self.term + 1 if pre else self.term,
             self.log.last_index,
@@ -33,22 +42,23 @@
             transfer,
         )
         for replica in self.membership.voters:
-            if replica != self.me:
+            if replica != self.replica_id:
                 self._send(replica, request)
         self._count_votes()
 
     def _on_vote_request(self, sender: ReplicaId, request: VoteRequest) -> None:
-        since = self.ticks - self.heard_leader
+        ticks_since_contact = self.ticks - self.leader_contact_tick
         has_leader = self.role is Role.LEADER or (
-            self.leader != NOBODY and since < self.timings.election
+            self.leader != NO_REPLICA
+            and ticks_since_contact < self.timings.election_ticks
         )
         if has_leader and not request.transfer:
-            # Someone cut off from our leader must not depose it.
+            # A replica that lost contact must not depose a working leader.
             if request.term > self.term or request.pre:
                 self._send(sender, VoteReply(self.term, False, request.pre))
             return
         if not request.pre and request.term > self.term:
-            self._become_follower(request.term, NOBODY)
+            self._become_follower(request.term, NO_REPLICA)
         up_to_date = (request.last_term, request.last_index) >= (
             self.log.last_term,
             self.log.last_index,
@@ -58,16 +68,16 @@
             term = request.term if granted else self.term
             self._send(sender, VoteReply(term, granted, True))
             return
-        free = self.vote in (NOBODY, sender)
+        free = self.vote in (NO_REPLICA, sender)
         granted = request.term == self.term and free and up_to_date
         if granted:
             self.vote = sender
-            self._reset_deadline()
+            self._reset_election_timer()
         self._send(sender, VoteReply(self.term, granted))
 
     def _on_vote_reply(self, sender: ReplicaId, reply: VoteReply) -> None:
         if not reply.granted and reply.term > self.term:
-            self._become_follower(reply.term, NOBODY)
+            self._become_follower(reply.term, NO_REPLICA)
             return
         expected = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
         term = self.term + 1 if reply.pre else self.term
@@ -89,13 +99,15 @@
 
     def _become_leader(self) -> None:
         self.role = Role.LEADER
-        self.leader = self.me
+        self.leader = self.replica_id
         self.round = 0
-        self.wants_round = False
+        self.round_requested = False
         self.progress = {
-            replica: Progress(next=self.log.last_index + 1, heard=self.ticks)
+            replica: Progress(
+                next=self.log.last_index + 1, last_reply_tick=self.ticks
+            )
             for replica in self.membership.members
         }
-        self.term_start = self.log.last_index + 1
-        self._append_own(EntryKind.NOOP, "")
+        self.term_start_index = self.log.last_index + 1
+        self._append_as_leader(EntryKind.NOOP, "")
         self._broadcast()
--- a/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
@@ -11,7 +11,7 @@
 from result import Err, Ok
 
 from marjoramyard.coordination.consensus.membership_plan import (
-    Candidate,
+    AvailableHost,
     Step,
     StepKind,
     apply_step,
@@ -80,7 +80,7 @@
         if role.storage is not None:
             replica = str(role.unassigned_replica_id)
         if role.running_node is not None:
-            replica = str(role.running_node.core.me)
+            replica = str(role.running_node.core.replica_id)
             cluster = role.storage.identity.cluster
             entries = role.running_node.core.log.last_index
         return ControlHost(
@@ -264,7 +264,7 @@
             done=isinstance(result, Ok),
         )
 
-    def _available_hosts(self, now: float) -> list[Candidate]:
+    def _available_hosts(self, now: float) -> list[AvailableHost]:
         """Returns recently announced hosts that have a disk."""
         found = []
         for address, host in self.hosts.items():
@@ -274,7 +274,7 @@
             )
             if host.replica and is_recent:
                 found.append(
-                    Candidate(ReplicaId(host.replica), address, host.zone)
+                    AvailableHost(ReplicaId(host.replica), address, host.zone)
                 )
         return found
 
@@ -288,7 +288,7 @@
         lost = set()
         core = self.role.running_node.core
         for replica, address in core.membership.addresses.items():
-            if replica == core.me:
+            if replica == core.replica_id:
                 continue
             host = self.hosts.get(address)
             at = max(
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -29,9 +29,11 @@
 logger = get_logger(__name__)
 
 TICK_SECONDS = 0.1
-TIMINGS = RaftTimings(election=12, heartbeat=4, first_election=2)
+TIMINGS = RaftTimings(
+    election_ticks=12, heartbeat_ticks=4, first_election_ticks=2
+)
 """In ticks of `TICK_SECONDS`."""
-MAX_ELECTION_SECONDS = 2 * TIMINGS.election * TICK_SECONDS
+MAX_ELECTION_SECONDS = 2 * TIMINGS.election_ticks * TICK_SECONDS
 """The longest election timeout; also the retry delay given to callers."""
 MAX_CATCH_UP_TICKS = 3
 
@@ -205,7 +207,7 @@
         try:
             async with asyncio.timeout(timeout):
                 if await future:
-                    return Ok(self.core.applied)
+                    return Ok(self.core.applied_index)
         except TimeoutError:
             return Err(no_quorum())
         return Err(self.not_leader())
@@ -214,7 +216,7 @@
         """Returns a failure that names the leader's address, if known."""
         leader = self.core.leader
         address = self.core.membership.addresses.get(leader)
-        if leader == self.core.me:
+        if leader == self.core.replica_id:
             address = None
         reason = failure(
             Kind.NOT_LEADER,
@@ -250,7 +252,7 @@
         self.core.flush()
         while not (ready := self.core.take_ready()).is_empty:
             self._store(ready)
-            self.core.synced()
+            self.core.mark_synced()
             self.peers.send(ready.messages, self.core.membership.addresses)
             self._apply(ready)
         self._resolve_reads()
@@ -262,14 +264,14 @@
             self.storage.save_snapshot(ready.snapshot, hard, [])
             self.state = ControlState.restore(ready.snapshot.data)
             logger.info("snapshot_installed", index=ready.snapshot.index)
-        if ready.hard is not None or ready.entries:
-            self.storage.append(ready.hard, ready.entries)
+        if ready.hard_state is not None or ready.entries:
+            self.storage.append(ready.hard_state, ready.entries)
 
     def _apply(self, ready: Ready) -> None:
         for entry in ready.committed:
             reply = Reply()
             if entry.kind is EntryKind.COMMAND:
-                reply = self.state.apply_text(entry.data)
+                reply = self.state.apply_encoded(entry.data)
             pending = self.pending_proposals.get(entry.index)
             if pending is not None and not pending.future.done():
                 if pending.term == entry.term:
@@ -288,7 +290,7 @@
             return
         self.applied_since_snapshot = 0
         snapshot: Snapshot = self.core.compact(
-            self.core.applied, self.state.snapshot()
+            self.core.applied_index, self.state.snapshot()
         )
         hard = HardState(self.core.term, self.core.vote)
         self.storage.save_snapshot(snapshot, hard, self.core.log.entries)
@@ -304,7 +306,10 @@
                 continue
             if not is_leader or core.term != read.term:
                 read.future.set_result(False)
-            elif confirmed >= read.round and core.applied >= core.commit:
+            elif (
+                confirmed >= read.round
+                and core.applied_index >= core.commit_index
+            ):
                 read.future.set_result(True)
             else:
                 unresolved.append(read)
--- a/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
@@ -59,7 +59,7 @@
 
     def _on_leadership_change(self, _: bool) -> None:
         """Starts an empty directory, which routers' renewals fill again."""
-        epoch = new_incarnation(self.node.core.me)
+        epoch = new_incarnation(self.node.core.replica_id)
         self.directory = Directory(epoch, time.monotonic())
         self.wake()
 
@@ -87,7 +87,7 @@
         """Returns a revision of the current set of suspects."""
         parts = [
             f"{fingerprint}:{suspect.convicted_until > 0}"
-            for fingerprint, suspect in self.node.state.suspects.known.items()
+            for fingerprint, suspect in self.node.state.suspects.records.items()
         ]
         return str(hash(tuple(parts))) if parts else "-"
 
@@ -189,7 +189,7 @@
         else:
             reply.deltas = deltas
         if request.row.role == "entry":
-            reply.directory = self.directory.update(
+            reply.directory = self.directory.changes_since(
                 request.directory_epoch,
                 request.directory_version,
                 time.monotonic(),
@@ -198,7 +198,7 @@
         revision = self.suspects_revision()
         reply.suspects_revision = revision
         if revision != request.suspects_revision:
-            known = state.suspects.known
+            known = state.suspects.records
             reply.suspects = list(known)
             reply.convicted = {
                 fingerprint: suspect.convicted_until - state.now
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -167,7 +167,7 @@
         self.app.tasks.spawn(self._expire_forever(self.renewal_server))
         logger.info(
             "replica_started",
-            replica=self.running_node.core.me,
+            replica=self.running_node.core.replica_id,
             term=self.running_node.core.term,
             entries=self.running_node.core.log.last_index,
         )
@@ -222,7 +222,7 @@
                 return []
             core = self.running_node.core
             return [
-                (core.commit, {"what": "commit"}),
+                (core.commit_index, {"what": "commit"}),
                 (core.log.last_index, {"what": "last"}),
                 (self.storage.sync_count, {"what": "syncs"}),
                 (self.storage.bytes_written, {"what": "bytes"}),
@@ -344,15 +344,15 @@
         synced = {}
         if core.role is RaftRole.LEADER:
             synced = {r: p.match for r, p in core.progress.items()}
-            synced[core.me] = core.synced_index
+            synced[core.replica_id] = core.synced_index
         return HostStatus(
             name,
-            core.me,
+            core.replica_id,
             core.role.value,
             core.term,
             core.membership.addresses.get(core.leader, ""),
             core.log.last_index,
-            core.commit,
+            core.commit_index,
             self.running_node.state.bundles.state.version,
             core.membership,
             synced,
--- /dev/null
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
@@ -0,0 +1,140 @@
+"""Messages between gateways and the broker of a service.
+
+Gateways and brokers exchange JSON arrays of messages over a WebSocket.
+"""
+
+import msgspec
+
+from marjoramyard.coordination.routing.table import PromptPart
+
+BROKER_PATH = "/fleet/v1/broker"
+HEARTBEAT_INTERVAL_SECONDS = 0.1
+BROKER_TIMEOUT_SECONDS = 0.4
+"""A broker from which nothing was received for so long is considered
+unresponsive. Requests are then placed by the gateway's own estimates."""
+
+
+class PlaceRequest(msgspec.Struct, tag="ask", omit_defaults=True):
+    """A gateway requests an endpoint for a request.
+
+    Attributes:
+        number: Identifies the request on this connection.
+        service: The service that the request is for.
+        workspace: The workspace of the caller; "" on open routes.
+        parts: The prompt parts, as (digest, tokens).
+        output_tokens: The maximum number of output tokens.
+        due_ms: Milliseconds until the first token is due.
+        left_ms: Milliseconds until the caller's deadline.
+        without: Endpoints that must not be chosen.
+    """
+
+    number: int
+    service: str
+    workspace: str
+    parts: list[tuple[str, int]]
+    output_tokens: int
+    due_ms: float
+    left_ms: float
+    without: list[str] = []
+
+    def prompt(self) -> tuple[PromptPart, ...]:
+        """Returns the prompt parts."""
+        return tuple(PromptPart(digest, size) for digest, size in self.parts)
+
+
+class Withdraw(msgspec.Struct, tag="withdraw"):
+    """The caller of a queued request has disconnected."""
+
+    number: int
+
+
+class FirstToken(msgspec.Struct, tag="first", omit_defaults=True):
+    """The first token of a request has arrived at the gateway.
+
+    Attributes:
+        is_late: The gateway's event loop is late, so the token may have arrived
+            earlier.
+    """
+
+    number: int
+    is_late: bool = False
+
+
+class Finished(msgspec.Struct, tag="ended", omit_defaults=True):
+    """A request is no longer at its endpoint.
+
+    Attributes:
+        failed: The endpoint failed to respond.
+    """
+
+    number: int
+    failed: bool = False
+
+
+class RunningRequest(msgspec.Struct, tag="running"):
+    """A request that is running without a grant of this broker.
+
+    Attributes:
+        tokens: Prompt tokens that are still to be prefilled.
+        memory: Tokens of engine memory, without shared prompt parts.
+        output_tokens: The maximum number of output tokens.
+    """
+
+    number: int
+    service: str
+    endpoint: str
+    tokens: float
+    memory: float
+    workspace: str = ""
+    output_tokens: int = 0
+
+
+class PlaceGrant(msgspec.Struct, tag="grant", omit_defaults=True):
+    """The request may be sent to this endpoint now.
+
+    Attributes:
+        fetch_from: The endpoint to fetch cached prompt parts from; "" for none.
+        tokens: Prompt tokens that the endpoint is expected to prefill.
+    """
+
+    number: int
+    endpoint: str
+    fetch_from: str = ""
+    tokens: float = 0.0
+
+
+class PlaceRefusal(msgspec.Struct, tag="refuse", omit_defaults=True):
+    """The request would miss its deadline or objective; it has not run.
+
+    Attributes:
+        retry_after_ms: Milliseconds after which the caller may retry.
+        predicted_ms: The predicted time until the first token, in milliseconds.
+        over_ms: Milliseconds for which an equal request would be refused again.
+    """
+
+    number: int
+    retry_after_ms: float
+    predicted_ms: float
+    over_ms: float = 0.0
+
+
+class Heartbeat(msgspec.Struct, tag="beat", omit_defaults=True):
+    """The sender is alive.
+
+    A broker sends heartbeats all the time, a gateway while it has requests that
+    are queued or being prefilled.
+
+    Attributes:
+        is_late: The sender's event loop is late.
+    """
+
+    is_late: bool = False
+
+
+GatewayMessage = (
+    PlaceRequest | Withdraw | FirstToken | Finished | RunningRequest | Heartbeat
+)
+BrokerMessage = PlaceGrant | PlaceRefusal | Heartbeat
+
+gateway_message_decoder = msgspec.json.Decoder(list[GatewayMessage])
+broker_message_decoder = msgspec.json.Decoder(list[BrokerMessage])
--- a/packages/fleet/src/marjoramyard/fleet/gateway/following.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -1,4 +1,4 @@
-"""Follows the control hosts: one long poll to each of them."""
+"""Receives updates from the control hosts by one long poll to each."""
 
 import asyncio
 
@@ -13,20 +13,20 @@
 
 logger = get_logger(__name__)
 
-WAIT_SECONDS = 0.8
-"""A lease counts from when it was asked for, so this much of it is gone
-when the answer comes; the rest must outlast an election (2.4 s)."""
-ANSWER_SECONDS = 0.7
-"""Beyond the wait. A connection can fall silent without a reset; news must
-then arrive over a new one within two seconds of its acknowledgement."""
-PAUSE_SECONDS = 0.1
-PAUSE_LOST_SECONDS = 0.4
-GONE_AFTER_FAILURES = 40
-"""Some 40 s of failures: a host that nobody announces any more is dropped."""
+POLL_SECONDS = 0.8
+"""How long a control host may hold a poll. Leases count from the start of the
+poll and must outlast an election."""
+REPLY_TIMEOUT_SECONDS = 0.7
+"""Timeout beyond the poll time, for connections that stall without a reset."""
+DISCOVERY_INTERVAL_SECONDS = 0.1
+RETRY_SECONDS = 0.4
+MAX_FAILURES = 40
+"""Failed polls in a row after which a control host that is no longer announced
+is dropped."""
 
 
-class Follower:
-    """Keeps a view up to date from all control hosts that are known."""
+class ControlSync:
+    """Keeps a fleet view up to date from all known control hosts."""
 
     def __init__(self, app: Application, view: FleetView):
         self.app = app
@@ -35,61 +35,61 @@
         self.polls: dict[str, asyncio.Task] = {}
 
     async def run(self) -> None:
-        """Starts polls as control hosts become known."""
+        """Starts a poll for each control host that becomes known."""
         while True:
-            for address in self.wanted():
+            for address in self.target_addresses():
                 task = self.polls.get(address)
                 if task is None or task.done():
                     self.polls[address] = self.app.tasks.spawn(
-                        self._follow(address)
+                        self._poll(address)
                     )
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(DISCOVERY_INTERVAL_SECONDS)
 
-    def wanted(self) -> set[str]:
-        """Returns the internal addresses to ask."""
+    def target_addresses(self) -> set[str]:
+        """Returns the internal addresses of the control hosts to poll."""
         return self.view.control_addresses | set(self.settings.seed_addresses())
 
     def _spare_capacity(self) -> float:
-        """Returns the cores that brokering may use; a leaving host has none."""
+        """Returns the cores available for brokering; 0 while draining."""
         if self.app.stopping.is_set() or self.view.table is None:
             return 0.0
         return self.settings.processor_cores
 
-    async def _follow(self, address: str) -> None:
+    async def _poll(self, address: str) -> None:
         epoch, cursor, failures = "", 0, 0
-        while failures < GONE_AFTER_FAILURES or address in self.wanted():
+        while failures < MAX_FAILURES or address in self.target_addresses():
             sent_at = boot_seconds()
-            asked = SyncRequest(
+            request = SyncRequest(
                 str(self.app.incarnation),
                 self.view.version,
                 epoch,
                 cursor,
-                WAIT_SECONDS if epoch else 0.0,
+                POLL_SECONDS if epoch else 0.0,
                 self.settings.name,
                 self.settings.reachable,
                 self._spare_capacity(),
             )
-            told = await self.app.client.call(
+            result = await self.app.client.call(
                 address,
                 paths.SYNC_PATH,
-                asked,
+                request,
                 SyncReply,
-                WAIT_SECONDS + ANSWER_SECONDS,
+                POLL_SECONDS + REPLY_TIMEOUT_SECONDS,
             )
-            if isinstance(told, Err):
+            if isinstance(result, Err):
                 failures += 1
                 epoch = ""
                 if failures == 1:
                     logger.info(
                         "control_host_lost",
                         address=address,
-                        why=told.err_value.message,
+                        why=result.err_value.message,
                     )
-                await asyncio.sleep(PAUSE_LOST_SECONDS)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             if failures:
-                logger.info("control_host_regained", address=address)
+                logger.info("control_host_reconnected", address=address)
             failures = 0
-            reply = told.ok_value
+            reply = result.ok_value
             epoch, cursor = reply.epoch, reply.cursor
-            self.view.take(address, reply, sent_at)
+            self.view.apply(address, reply, sent_at)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/events.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/events.py
@@ -1,33 +1,37 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 _END = b"\n\n"
 
 
-class EventCutter:
-    """Collects bytes and hands out whole events.
+class EventSplitter:
+    """Buffers bytes and returns complete events.
 
-    An endpoint may break off in the middle of an event. A caller that was
-    given half of it could not join the rest from another endpoint.
+    A stream that breaks off in the middle of an event can't be resumed there at
+    another endpoint, so partial events are not forwarded.
+
+    Attributes:
+        buffer: The bytes of an incomplete event.
+        last_id: The ID of the last complete event that has one.
     """
 
     def __init__(self):
-        self.held = bytearray()
+        self.buffer = bytearray()
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the bytes of all events that are whole now."""
-        self.held += data
-        end = self.held.rfind(_END)
+        """Adds data; returns the bytes of all events that are now complete."""
+        self.buffer += data
+        end = self.buffer.rfind(_END)
         if end < 0:
             return b""
-        whole = bytes(self.held[: end + len(_END)])
-        del self.held[: end + len(_END)]
-        self._note_id(whole)
-        return whole
-
-    def _note_id(self, whole: bytes) -> None:
-        place = whole.rfind(b"\nid:")
-        if place < 0 and not whole.startswith(b"id:"):
+        complete = bytes(self.buffer[: end + len(_END)])
+        del self.buffer[: end + len(_END)]
+        self._record_id(complete)
+        return complete
+
+    def _record_id(self, complete: bytes) -> None:
+        position = complete.rfind(b"\nid:")
+        if position < 0 and not complete.startswith(b"id:"):
             return
-        line = whole[place + 1 :].split(b"\n", 1)[0]
+        line = complete[position + 1 :].split(b"\n", 1)[0]
         self.last_id = line[len(b"id:") :].strip().decode("latin-1")
--- a/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
@@ -1,10 +1,10 @@
-"""Limits how many prompts a gateway serves at once, by its own lateness.
+"""Limits the number of prompts in service by the latency of the event loop.
 
-One workspace can send a gateway more than its processor handles. Taken in,
-all of that waits in the event loop, and the answers of every caller there are
-late. So the gateway learns how many prompts it can serve at once and refuses
-more when they arrive, which costs little. While one workspace brings most of
-them it also asks the balancer to send new connections to other gateways.
+Requests beyond the CPU capacity of a gateway would queue in its event loop and
+delay the responses of all callers. The limit adapts to the measured latency;
+prompts above it are refused on arrival. While one workspace causes most of the
+load, the gateway also reports that it is not ready, so that the load balancer
+directs new connections to other gateways.
 """
 
 import time
@@ -12,83 +12,94 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from marjoramyard.fleet.util.spread import spread
+from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.kernel.errors import Failure, FleetError, Kind, failure
 
 LATE_SECONDS = 0.2
-"""The loop's lateness above which fewer prompts are served at once."""
-LEAST_LIMIT = 16.0
-"""So many the smallest host serves; a single late moment, such as a new
-configuration brings, is no flood."""
-DECREASE = 0.7
-INCREASE = 1.0
-"""Added at each wake-up in time while the limit is in use."""
+"""Event loop latency above which the limit is decreased."""
+MIN_LIMIT = 16.0
+"""Lower bound of the limit, which the smallest hosts can serve."""
+DECREASE_FACTOR = 0.7
+INCREASE_STEP = 1.0
+"""Added to the limit at each punctual wake-up while it is in use."""
 IN_USE_SHARE = 0.8
-"""A limit of which less is in use says nothing of what could be served."""
-FLOOD_SHARE = 0.5
-"""Of the prompts in service. Where all workspaces bring too much, other
-gateways have no room either."""
-FLOODED_SECONDS = 3.0
-"""The balancer asks for readiness once a second and believes two misses."""
-RETURN_SECONDS = 1.5
-"""Floods last for seconds, and most callers' next connection reaches the same
-gateway; back sooner, they would be refused again and have no further try."""
-
-
-class ServingLimit:
-    """How many prompts may be in service here, in all and by workspace."""
+"""Share of the limit that must be in use for it to increase."""
+DOMINANT_SHARE = 0.5
+"""Share of the prompts in service above which a workspace is dominant. If the
+load is spread over all workspaces, other gateways are overloaded too."""
+UNREADY_SECONDS = 3.0
+"""Long enough for the load balancer to miss two readiness checks."""
+OVERLOAD_RETRY_SECONDS = 1.5
+"""Mean `Retry-After` of refused prompts. Sooner retries would mostly reach the
+same overloaded gateway."""
+
+
+class ConcurrencyLimit:
+    """Adaptive limit on prompts in service, in total and by workspace.
+
+    Attributes:
+        limit: The maximum number of prompts in service.
+        active: Prompts in service by workspace.
+        total: Prompts in service.
+        overloaded_by_one_until: When the gateway becomes ready again, on the
+            monotonic clock in seconds.
+        refused: Refused prompts by workspace since the last report.
+    """
 
     def __init__(self):
         self.limit = float("inf")
         self.active: Counter[str] = Counter()
         self.total = 0
-        self.flooded_until = 0.0
+        self.overloaded_by_one_until = 0.0
         self.refused: Counter[str] = Counter()
 
     @property
-    def is_flooded(self) -> bool:
-        """Whether one workspace has brought too much of late."""
-        return time.monotonic() < self.flooded_until
+    def is_overloaded_by_one(self) -> bool:
+        """Whether one workspace has recently overloaded this gateway."""
+        return time.monotonic() < self.overloaded_by_one_until
 
-    def _is_mostly_of_one(self) -> bool:
-        most = max(self.active.values(), default=0)
-        return self.total >= LEAST_LIMIT and most > self.total * FLOOD_SHARE
+    def _has_dominant_workspace(self) -> bool:
+        largest = max(self.active.values(), default=0)
+        return self.total >= MIN_LIMIT and largest > self.total * DOMINANT_SHARE
 
     def on_wake_up(self, late_seconds: float) -> None:
-        """Adapts the limit; called at each measured wake-up of the loop."""
-        if late_seconds > LATE_SECONDS and self._is_mostly_of_one():
-            self.flooded_until = time.monotonic() + FLOODED_SECONDS
+        """Adapts the limit to the latency of the event loop.
+
+        Args:
+            late_seconds: How late a scheduled wake-up of the loop was.
+        """
+        if late_seconds > LATE_SECONDS and self._has_dominant_workspace():
+            self.overloaded_by_one_until = time.monotonic() + UNREADY_SECONDS
         if late_seconds > LATE_SECONDS:
-            reached = min(self.limit, float(self.total))
-            self.limit = max(LEAST_LIMIT, reached * DECREASE)
+            served = min(self.limit, float(self.total))
+            self.limit = max(MIN_LIMIT, served * DECREASE_FACTOR)
         elif self.total >= self.limit * IN_USE_SHARE:
-            self.limit += INCREASE
+            self.limit += INCREASE_STEP
 
     @property
     def is_reached(self) -> bool:
-        """Whether some are refused."""
+        """Whether prompts may be refused."""
         return self.total >= self.limit
 
     def admits(self, workspace: str) -> bool:
         """Whether another prompt of a workspace may be served now.
 
-        One that has less than an even share of the limit always may: it is
-        not the one that brings too much.
+        A workspace below an even share of the limit is always admitted.
         """
         if not self.is_reached:
             return True
-        others = len(self.active) + (workspace not in self.active)
-        return self.active[workspace] < self.limit / others
+        workspace_count = len(self.active) + (workspace not in self.active)
+        return self.active[workspace] < self.limit / workspace_count
 
     @contextmanager
-    def serving(self, workspace: str) -> Iterator[None]:
+    def admit(self, workspace: str) -> Iterator[None]:
         """Counts a prompt while it is in service.
 
         Raises:
-            FleetError: There are too many; it has not run.
+            FleetError: The limit is reached; the prompt has not run.
         """
         if not self.admits(workspace):
-            raise FleetError(self.refusal(workspace))
+            raise FleetError(self.refuse(workspace))
         self.active[workspace] += 1
         self.total += 1
         try:
@@ -99,16 +110,16 @@
             if not self.active[workspace]:
                 del self.active[workspace]
 
-    def refusal(self, workspace: str) -> Failure:
-        """Counts a refused request, and returns what its caller is told."""
+    def refuse(self, workspace: str) -> Failure:
+        """Counts a refused prompt and returns the failure for its caller."""
         self.refused[workspace] += 1
         return failure(
             Kind.OVERLOADED,
-            "this gateway has too many requests; come back later",
-            retry_after=spread(RETURN_SECONDS),
+            "this gateway is overloaded; retry later",
+            retry_after=jitter(OVERLOAD_RETRY_SECONDS),
         )
 
-    def take_refused(self) -> Counter[str]:
-        """Returns how many were refused since the last call, by workspace."""
+    def pop_refused_counts(self) -> Counter[str]:
+        """Returns the refused prompts since the last call, by workspace."""
         refused, self.refused = self.refused, Counter()
         return refused
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway role: its services and its parts wired together."""
+"""The gateway role: sets up and runs the parts of a gateway."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -7,58 +7,65 @@
 from aiohttp import web
 
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.gateway.broker_desk import BrokerDesk
-from marjoramyard.fleet.gateway.broker_link import BrokerLinks, broker_session
-from marjoramyard.fleet.gateway.brokering import BROKER_PATH
+from marjoramyard.fleet.gateway.broker_client import (
+    BrokerClients,
+    open_broker_session,
+)
+from marjoramyard.fleet.gateway.broker_protocol import BROKER_PATH
+from marjoramyard.fleet.gateway.broker_server import BrokerServer
 from marjoramyard.fleet.gateway.connections import CallerConnections
+from marjoramyard.fleet.gateway.control_sync import ControlSync
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.early_refusal import EarlyRefusal
-from marjoramyard.fleet.gateway.following import Follower
-from marjoramyard.fleet.gateway.serving import Dispatcher
-from marjoramyard.fleet.gateway.upstream import endpoint_session
+from marjoramyard.fleet.gateway.request_handler import RequestHandler
+from marjoramyard.fleet.gateway.upstream import open_endpoint_session
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.logs import get_logger
 
 logger = get_logger(__name__)
 
 LEASE_MARGIN_SECONDS = 0.5
-"""Taken off the time after which a lost key must be refused: a request that
-was admitted at the end of a lease still has to reach its endpoint."""
-BALANCER_SECONDS = 2.6
-"""The balancer asks for readiness once a second and believes two misses."""
+"""Subtracted from the time within which a revoked key must be refused. Covers
+the time from admission until the request reaches its endpoint."""
+BALANCER_NOTICE_SECONDS = 2.6
+"""Time for the load balancer to miss two readiness checks."""
 EXIT_MARGIN_SECONDS = 0.8
-"""Kept of the grace for closing what is left, before the kill comes."""
+"""Part of the grace period that is kept for closing connections."""
 IDLE_SECONDS = 16.0
-"""Callers reuse connections that have been idle for up to 12 s; a close
-must not cross a request."""
+"""Keep-alive timeout. Longer than callers keep idle connections, so that the
+gateway does not close one on which a request is being sent."""
 QUIET_POLLS = 6
-"""In so many wake-ups in a row nothing must have come before the process ends.
-Counted by the clock, a late gateway would end while requests lie unread."""
+"""Consecutive polls without a request after which draining ends. Polls are
+counted because a late event loop may have unread requests."""
 _DRAIN_POLL_SECONDS = 0.05
 
 
 class GatewayRole:
-    """Answers callers as long as it may."""
+    """Serves callers, and drains before the process exits.
 
-    def __init__(self, app: Application, view: FleetView, dispatcher):
+    Attributes:
+        connections: The connections of callers.
+    """
+
+    def __init__(self, app: Application, view: FleetView, handler):
         self.app = app
         self.settings = app.settings
         self.view = view
-        self.dispatcher = dispatcher
+        self.handler = handler
         self.connections = CallerConnections(self.settings.max_descriptors)
-        dispatcher.closes_connections = self.closes_connections
-        dispatcher.is_full = lambda: self.connections.is_full
+        handler.closes_connections = self.closes_connections
+        handler.is_full = lambda: self.connections.is_full
 
     def is_ready(self) -> bool:
-        """A gateway is ready once it knows a configuration in force."""
-        return self.view.table is not None and self.view.lease_holds()
+        """Whether there is a configuration and the lease is valid."""
+        return self.view.table is not None and self.view.has_valid_lease()
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Serves a caller; while draining, ends the connection after it."""
+        """Handles a request; closes the connection after it while draining."""
         busy = self.connections.busy
         busy.add(request.protocol)
         try:
-            response = await self.dispatcher.handle(request)
+            response = await self.handler.handle(request)
         finally:
             busy.discard(request.protocol)
         if self.closes_connections() and not response.prepared:
@@ -66,83 +73,90 @@
         return response
 
     def wrap_connection(
-        self, behind: asyncio.Protocol, waits_for_request: Callable[[], bool]
+        self, inner: asyncio.Protocol, is_idle: Callable[[], bool]
     ) -> asyncio.Protocol:
-        """Puts early refusals before a caller's connection."""
+        """Adds early refusal to a caller's connection."""
         return EarlyRefusal(
-            behind,
-            waits_for_request,
+            inner,
+            is_idle,
             self._refuses_early,
-            self.dispatcher.refuse_early,
+            self.handler.refuse_early,
         )
 
     def _refuses_early(self) -> bool:
-        reached = self.dispatcher.limit.is_reached
+        reached = self.handler.limit.is_reached
         return reached and not self.closes_connections()
 
     def closes_connections(self) -> bool:
-        """Whether a connection is to be closed after its answer."""
+        """Whether connections are closed after the response."""
         return self.app.stopping.is_set() or self.connections.is_crowded
 
     async def readyz(self, _: web.Request) -> web.Response:
-        """Tells the balancer whether to send new connections."""
+        """Answers the load balancer's readiness check."""
         ready = (
             self.is_ready()
             and not self.app.stopping.is_set()
-            and not self.dispatcher.limit.is_flooded
+            and not self.handler.limit.is_overloaded_by_one
         )
         return web.Response(status=200 if ready else 503)
 
     async def drain(self) -> None:
-        """Lets the balancer notice, then lets what runs end.
+        """Stops accepting requests and waits for those in progress.
 
-        A connection that is kept open would go on bringing requests until
-        the kill, which would cut them; so idle ones are closed once no new
-        ones come. Where most of a zone's gateways leave together the
-        balancer sends new ones all the same: they are told to go elsewhere.
+        The readiness check fails first. After the load balancer has had time to
+        notice, new requests are refused and idle connections closed: kept open,
+        they would bring requests until the process is killed.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        end = began + self.settings.grace_seconds - EXIT_MARGIN_SECONDS
-        self.dispatcher.ends_at = end
-        await asyncio.sleep(BALANCER_SECONDS)
-        self.dispatcher.refuses = True
+        started_at = loop.time()
+        end = started_at + self.settings.grace_seconds - EXIT_MARGIN_SECONDS
+        self.handler.stops_at = end
+        await asyncio.sleep(BALANCER_NOTICE_SECONDS)
+        self.handler.is_refusing = True
         quiet_polls = 0
         while quiet_polls < QUIET_POLLS and loop.time() < end:
-            begun = self.dispatcher.begun
+            started_count = self.handler.started_count
             self.connections.close_idle()
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
-            if self.dispatcher.active or self.dispatcher.begun != begun:
+            if (
+                self.handler.active_count
+                or self.handler.started_count != started_count
+            ):
                 quiet_polls = 0
             else:
                 quiet_polls += 1
         logger.info(
             "drained",
-            cut=self.dispatcher.active,
-            seconds=round(loop.time() - began, 2),
+            cut=self.handler.active_count,
+            seconds=round(loop.time() - started_at, 2),
         )
 
 
 @asynccontextmanager
 async def gateway_role(app: Application) -> AsyncIterator[GatewayRole]:
-    """Runs a gateway."""
+    """Runs the gateway role."""
     settings = app.settings
     dialect = GATEWAY_DIALECTS.get(settings.dialect)
     lease_seconds = settings.revoke_ms / 1000 - LEASE_MARGIN_SECONDS
     view = FleetView(dialect, lease_seconds)
-    async with endpoint_session() as session, broker_session() as to_brokers:
-        brokers = BrokerLinks(app.tasks, view, to_brokers, app.metrics)
-        dispatcher = Dispatcher(view, session, brokers, app)
-        desk = BrokerDesk(view)
-        app.metrics.gauge("broker_wait_seconds", desk.waits)
-        app.metrics.gauge("broker_requests", desk.requests)
-        app.tasks.spawn(desk.beat_forever())
-        app.tasks.spawn(desk.report_forever())
-        app.tasks.spawn(dispatcher.report_overload_forever())
-        role = GatewayRole(app, view, dispatcher)
-        app.tasks.spawn(Follower(app, view).run())
+    async with (
+        open_endpoint_session() as session,
+        open_broker_session() as to_brokers,
+    ):
+        brokers = BrokerClients(app.tasks, view, to_brokers, app.metrics)
+        handler = RequestHandler(view, session, brokers, app)
+        broker_server = BrokerServer(view)
+        app.metrics.gauge("broker_wait_seconds", broker_server.wait_seconds)
+        app.metrics.gauge("broker_requests", broker_server.requests)
+        app.tasks.spawn(broker_server.send_heartbeats_forever())
+        app.tasks.spawn(broker_server.log_load_forever())
+        app.tasks.spawn(handler.log_overload_forever())
+        role = GatewayRole(app, view, handler)
+        app.tasks.spawn(ControlSync(app, view).run())
         async with (
-            app.serve(settings.internal, [web.get(BROKER_PATH, desk.serve)]),
+            app.serve(
+                settings.internal, [web.get(BROKER_PATH, broker_server.serve)]
+            ),
             app.serve(
                 settings.ready_listen,
                 [web.get(dialect.ready_path, role.readyz)],
@@ -164,5 +178,5 @@
 
 
 def setup(app: Application) -> None:
-    """Registers the role."""
+    """Registers the gateway role."""
     app.add_role("gateway", gateway_role)
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -84,7 +84,7 @@
 
     def holds_lease(self) -> bool:
         """Returns whether the router may accept requests now."""
-        return self.lease.holds(time.monotonic()) and self.bundle.version > 0
+        return self.lease.is_valid(time.monotonic()) and self.bundle.version > 0
 
     def refusal(self) -> Failure | None:
         """Returns the failure of new requests, or None if they are accepted."""
@@ -160,7 +160,7 @@
             if reason.leader and reason.leader != address:
                 self.control.leader = reason.leader
             else:
-                self.control.pass_over(address)
+                self.control.select_another_host(address)
             return False
         return self._apply(result.ok_value, sent_at)
 
@@ -184,7 +184,7 @@
             return False
         if not self._install_bundle(reply):
             return False
-        self.lease.renewed(sent_at, reply.lease_seconds)
+        self.lease.renew(sent_at, reply.lease_seconds)
         if reply.directory is not None:
             self._apply_directory(reply.directory)
         if reply.suspects is not None:
--- /dev/null
+++ b/packages/fleet/tests/gateway/test_broker_server.py
@@ -0,0 +1,142 @@
+"""Grants and heartbeats of the broker server."""
+
+import asyncio
+import contextlib
+
+import aiohttp
+import msgspec
+import pytest
+from aiohttp import web
+
+from marjoramyard.coordination.membership.registrations import Registration
+from marjoramyard.coordination.routing.config import (
+    EngineProfile,
+    FleetConfig,
+    Service,
+)
+from marjoramyard.coordination.routing.table import RouteTable
+from marjoramyard.fleet.gateway.broker_protocol import (
+    BROKER_PATH,
+    HEARTBEAT_INTERVAL_SECONDS,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRequest,
+    broker_message_decoder,
+)
+from marjoramyard.fleet.gateway.broker_server import BrokerServer
+from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
+from marjoramyard.fleet.gateway.view import FleetView
+
+OBJECTIVE_MS = 500.0
+TIMEOUT_MS = 5000.0
+
+
+def view_of_one_engine():
+    view = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
+    profile = EngineProfile(slots=64, memory_tokens=500_000)
+    config = FleetConfig(1, services=(Service("llm", engine=profile),))
+    view.table = RouteTable(config)
+    registration = Registration(
+        endpoint="e0", service="llm", address="127.0.0.1:1"
+    )
+    view.registrations.merge(registration, 0.0)
+    return view
+
+
+@pytest.fixture
+async def broker_url():
+    server = BrokerServer(view_of_one_engine())
+    app = web.Application()
+    app.add_routes([web.get(BROKER_PATH, server.serve)])
+    runner = web.AppRunner(app, shutdown_timeout=0.1)
+    await runner.setup()
+    site = web.TCPSite(runner, "127.0.0.1", 0)
+    await site.start()
+    heartbeats = asyncio.create_task(server.send_heartbeats_forever())
+    port = site._server.sockets[0].getsockname()[1]
+    yield f"http://127.0.0.1:{port}{BROKER_PATH}"
+    heartbeats.cancel()
+    await runner.cleanup()
+
+
+@contextlib.asynccontextmanager
+async def connected(url):
+    async with (
+        aiohttp.ClientSession() as session,
+        session.ws_connect(url) as socket,
+    ):
+        yield socket
+
+
+async def request_place(socket, number, workspace, tokens=1800):
+    part = (f"{workspace}-{number}", tokens)
+    request = PlaceRequest(
+        number, "llm", workspace, [part], 10, OBJECTIVE_MS, TIMEOUT_MS
+    )
+    await socket.send_str(msgspec.json.encode([request]).decode())
+
+
+@contextlib.asynccontextmanager
+async def sending_heartbeats(socket):
+    """Sends heartbeats, as a gateway does that waits for a grant."""
+
+    async def send_heartbeats_forever():
+        while True:
+            await socket.send_str(msgspec.json.encode([Heartbeat()]).decode())
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+
+    task = asyncio.create_task(send_heartbeats_forever())
+    try:
+        yield
+    finally:
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+
+async def receive_reply(socket, number):
+    """Returns the broker's reply to a request."""
+    while True:
+        frame = await socket.receive()
+        for reply in broker_message_decoder.decode(frame.data):
+            if getattr(reply, "number", None) == number:
+                return reply
+
+
+async def test_an_unresponsive_gateway_does_not_delay_others(broker_url):
+    """Guards against idle endpoints while an unresponsive gateway holds grants
+    that it has not used.
+    """
+    async with (
+        connected(broker_url) as unresponsive,
+        connected(broker_url) as responsive,
+    ):
+        for number in range(1, 9):
+            await request_place(unresponsive, number, "large")
+        assert isinstance(await receive_reply(unresponsive, 1), PlaceGrant)
+        await request_place(responsive, 1, "small")
+        async with (
+            sending_heartbeats(responsive),
+            asyncio.timeout(OBJECTIVE_MS / 1000),
+        ):
+            assert isinstance(await receive_reply(responsive, 1), PlaceGrant)
+
+
+async def test_a_gateway_gets_its_grants_once_it_responds_again(broker_url):
+    """Guards against requests that stay queued until their deadline after their
+    gateway was unresponsive for a while.
+    """
+    async with (
+        connected(broker_url) as recovering,
+        connected(broker_url) as responsive,
+    ):
+        for number in range(1, 9):
+            await request_place(recovering, number, "large")
+        assert isinstance(await receive_reply(recovering, 2), PlaceGrant)
+        await request_place(responsive, 1, "small")
+        async with sending_heartbeats(responsive):
+            assert isinstance(await receive_reply(responsive, 1), PlaceGrant)
+        async with (
+            sending_heartbeats(recovering),
+            asyncio.timeout(OBJECTIVE_MS / 1000),
+        ):
+            assert isinstance(await receive_reply(recovering, 3), PlaceGrant)
--- a/packages/fleet/tests/gateway/test_runs.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -1,4 +1,4 @@
-"""One request's way, without a network."""
+"""The run of one request, without a network."""
 
 import time
 from types import SimpleNamespace
@@ -15,11 +15,11 @@
 )
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.coordination.serving.retries import RetryBudget
-from marjoramyard.fleet.gateway.admitting import CallerRequest
+from marjoramyard.fleet.gateway.admission import CallerRequest
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS, HeaderNames
-from marjoramyard.fleet.gateway.loads import Loads
-from marjoramyard.fleet.gateway.runs import Run, RunTools
-from marjoramyard.fleet.gateway.story import Story
+from marjoramyard.fleet.gateway.engine_load import EngineLoads
+from marjoramyard.fleet.gateway.request_run import RequestRun, RequestRunContext
+from marjoramyard.fleet.gateway.request_trace import RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.errors import FleetError, Kind
 from marjoramyard.kernel.metrics import Metrics
@@ -36,7 +36,7 @@
 
 
 class SessionThatTimesOut:
-    """A client session whose connections are never made."""
+    """A client session whose connections time out."""
 
     async def request(self, *_args, **_options):
         raise aiohttp.ConnectionTimeoutError("timeout")
@@ -44,18 +44,20 @@
 
 @pytest.fixture
 def metrics():
-    made = Metrics("gateway", "g0")
-    yield made
-    made.close()
+    instance = Metrics("gateway", "g0")
+    yield instance
+    instance.close()
 
 
 @pytest.fixture
 def view():
-    made = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
-    made.table = RouteTable(FleetConfig(1, services=(SERVICE,)))
-    word = Registration(endpoint="e0", service="api", address="127.0.0.1:1")
-    made.registrations.merge(word, 0.0)
-    return made
+    fleet_view = FleetView(GATEWAY_DIALECTS.get("native"), 5.0)
+    fleet_view.table = RouteTable(FleetConfig(1, services=(SERVICE,)))
+    registration = Registration(
+        endpoint="e0", service="api", address="127.0.0.1:1"
+    )
+    fleet_view.registrations.merge(registration, 0.0)
+    return fleet_view
 
 
 def make_run(view, metrics, is_late):
@@ -69,25 +71,34 @@
         route=ROUTE,
         workspace=None,
         arrived_at=now,
-        give_up_at=now + 5,
+        deadline_at=now + 5,
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(is_late=is_late))
-    tools = RunTools(
-        view, SessionThatTimesOut(), brokers, Loads(), HeaderNames(), metrics
+    context = RequestRunContext(
+        view,
+        SessionThatTimesOut(),
+        brokers,
+        EngineLoads(),
+        HeaderNames(),
+        metrics,
     )
     delivery = SimpleNamespace(events=SimpleNamespace(last_id=""))
     budget = RetryBudget(0.2, 10)
-    return Run(tools, caller, delivery, Story(), SERVICE, budget)
+    return RequestRun(
+        context, caller, delivery, RequestTrace(), SERVICE, budget
+    )
 
 
 @pytest.mark.parametrize("is_late", [True, False])
-async def test_a_late_gateway_does_not_blame_endpoints(view, metrics, is_late):
-    """Guards against: connections that a gateway was too busy to complete
-    take sound endpoints out of service, for all gateways.
+async def test_a_late_gateway_does_not_mark_endpoints_failed(
+    view, metrics, is_late
+):
+    """Guards against healthy endpoints being taken out of service because a
+    gateway was too late to complete connections.
     """
     run = make_run(view, metrics, is_late)
     with pytest.raises(FleetError) as caught:
-        await run.to_end()
+        await run.run_to_completion()
     assert caught.value.failure.kind is Kind.NO_ENDPOINT
     health = view.health_of("e0")
     assert health.is_backing_off(time.monotonic()) is not is_late
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -44,7 +44,7 @@
         self.requests.append(request)
         return self.answers.pop(0)
 
-    def pass_over(self, address):
+    def select_another_host(self, address):
         self.passed_over.append(address)
 
 
@@ -78,10 +78,10 @@
         snapshot(5, "c5", ("new",)), snapshot(4, "c4", ("old",))
     )
     await router._renew_once()
-    until = router.lease.until
+    until = router.lease.valid_until
     assert not await router._renew_once()
     assert set(router.bundle.services) == {"new"}
-    assert router.lease.until == until
+    assert router.lease.valid_until == until
     assert "older_bundles_refused" in router.metrics.counts
 
 
@@ -107,7 +107,7 @@
     assert router.refusal() is None
     assert not await router._renew_once()
     assert control.passed_over == ["127.0.0.1:9001"]
-    router.lease.until -= 9.0
+    router.lease.valid_until -= 9.0
     refusal = router.refusal()
     assert refusal.kind is Kind.NO_LEASE
     assert refusal.retry_after > 0
@@ -159,7 +159,7 @@
     """Guards against an old order after a restart of the agent."""
     guard = FencingGuard()
     assert guard.admit(3).kind is Kind.STALE_ORDER
-    guard.learn(5)
+    guard.observe(5)
     assert guard.admit(4).kind is Kind.STALE_ORDER
     assert guard.admit(5) is None
 
