--- a/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
@@ -198,11 +198,11 @@
         revision = self.suspects_revision()
         reply.suspects_revision = revision
         if revision != request.suspects_revision:
-            known = state.suspects.records
-            reply.suspects = list(known)
+            records = state.suspects.records
+            reply.suspects = list(records)
             reply.convicted = {
                 fingerprint: suspect.convicted_until - state.now
-                for fingerprint, suspect in known.items()
+                for fingerprint, suspect in records.items()
                 if suspect.convicted_until > state.now
             }
         order = state.orders.get(request.row.endpoint)
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -31,12 +31,12 @@
 
 
 class FakeControl:
-    """Answers renewals from a list and records replaced leaders."""
+    """Answers renewals from a list and records deselected hosts."""
 
     def __init__(self, answers):
         self.answers = list(answers)
         self.leader = "127.0.0.1:9001"
-        self.passed_over = []
+        self.deselected_hosts = []
         self.requests = []
         self.client = self
 
@@ -45,7 +45,7 @@
         return self.answers.pop(0)
 
     def select_another_host(self, address):
-        self.passed_over.append(address)
+        self.deselected_hosts.append(address)
 
 
 def reply(version, chain, **fields):
@@ -78,10 +78,10 @@
         snapshot(5, "c5", ("new",)), snapshot(4, "c4", ("old",))
     )
     await router._renew_once()
-    until = router.lease.valid_until
+    valid_until = router.lease.valid_until
     assert not await router._renew_once()
     assert set(router.bundle.services) == {"new"}
-    assert router.lease.valid_until == until
+    assert router.lease.valid_until == valid_until
     assert "older_bundles_refused" in router.metrics.counts
 
 
@@ -106,7 +106,7 @@
     await router._renew_once()
     assert router.refusal() is None
     assert not await router._renew_once()
-    assert control.passed_over == ["127.0.0.1:9001"]
+    assert control.deselected_hosts == ["127.0.0.1:9001"]
     router.lease.valid_until -= 9.0
     refusal = router.refusal()
     assert refusal.kind is Kind.NO_LEASE
@@ -128,7 +128,7 @@
     router, control = make_router(Err(refusal))
     await router._renew_once()
     assert control.leader == "127.0.0.1:9002"
-    assert control.passed_over == []
+    assert control.deselected_hosts == []
 
 
 def agent(name, state="ready"):
@@ -180,10 +180,12 @@
     assert await poll
 
 
-@pytest.mark.parametrize("left", [5.0, -1.0])
-def test_a_quarantine_ends(left):
+@pytest.mark.parametrize("seconds_left", [5.0, -1.0])
+def test_a_quarantine_ends(seconds_left):
     router, _ = make_router()
     router._apply_suspects(
-        RenewReply(8.0, 1, "c", suspects=["f"], convicted={"f": left})
+        RenewReply(8.0, 1, "c", suspects=["f"], convicted={"f": seconds_left})
+    )
+    assert (router.quarantine_seconds_left("f") is not None) == (
+        seconds_left > 0
     )
-    assert (router.quarantine_seconds_left("f") is not None) == (left > 0)
