--- a/bench/fairness_model.py
+++ b/bench/fairness_model.py
@@ -409,7 +409,7 @@
         cache = self.caches[engine]
         self.runs += 1
         is_hit = cache.is_warm(request.prefix)
-        cache.ran(request.prefix)
+        cache.record_run(request.prefix)
         self.hits += is_hit
         return 0.0 if is_hit else PREFILL_SECONDS
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from marjoramyard.coordination.fairness.scheduler import FairnessPolicy
-from marjoramyard.coordination.serving.waiting import RequestClass
+from marjoramyard.coordination.serving.request_queues import RequestClass
 from marjoramyard.kernel.util.canonical import canonical_bytes, digest
 
 KEY_HASH_LENGTH = 64
--- a/packages/coordination/src/marjoramyard/coordination/serving/events.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/events.py
@@ -6,7 +6,7 @@
 _ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
-class EventCutter:
+class EventSplitter:
     """Passes whole events on and keeps a part of one back.
 
     A stream can be resumed only behind a whole event. Had a part of one
@@ -34,6 +34,6 @@
             self.last_id = ids[-1].decode(errors="replace")
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial(self) -> None:
         """Forgets a part whose event will come again."""
         self.rest = b""
--- a/packages/coordination/src/marjoramyard/coordination/serving/frames.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/frames.py
@@ -10,11 +10,11 @@
 
 from marjoramyard.kernel.errors import Failure
 
-MAX_LINE = 1 << 20
-TAIL_BYTES = 1 << 18
+MAX_HEADER_BYTES = 1 << 20
+REPLAY_BUFFER_BYTES = 1 << 18
 
 
-class FrameHead(msgspec.Struct, omit_defaults=True):
+class FrameHeader(msgspec.Struct, omit_defaults=True):
     """The line of one frame; which field is set tells its sort.
 
     Attributes:
@@ -54,7 +54,7 @@
 class Frame(msgspec.Struct):
     """A frame with its bytes."""
 
-    head: FrameHead
+    head: FrameHeader
     data: bytes = b""
 
     def encode(self) -> bytes:
@@ -62,14 +62,14 @@
         return msgspec.json.encode(self.head) + b"\n" + self.data
 
 
-KEEPALIVE = Frame(FrameHead(-1))
+KEEPALIVE = Frame(FrameHeader(-1))
 
 
-class TailLostError(Exception):
+class ReplayLostError(Exception):
     """A resume asked for frames that are no longer kept."""
 
 
-class AnswerTail:
+class ReplayBuffer:
     """The frames of one answer, the last of them kept for a resume.
 
     Attributes:
@@ -78,7 +78,7 @@
         sent: Frames below this number were handed to a link.
     """
 
-    def __init__(self, limit: int = TAIL_BYTES):
+    def __init__(self, limit: int = REPLAY_BUFFER_BYTES):
         self.limit = limit
         self.frames: deque[Frame] = deque()
         self.kept_bytes = 0
@@ -90,25 +90,25 @@
 
     def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
         """Adds frame 0."""
-        self._append(Frame(FrameHead(0, status=status, headers=headers)))
+        self._append(Frame(FrameHeader(0, status=status, headers=headers)))
 
-    def data(self, chunk: bytes) -> None:
+    def add_data(self, chunk: bytes) -> None:
         """Adds a piece of the answer."""
         self.checksum = zlib.crc32(chunk, self.checksum)
-        head = FrameHead(self.next_number, size=len(chunk))
+        head = FrameHeader(self.next_number, size=len(chunk))
         self._append(Frame(head, chunk))
 
     def end(self) -> None:
         """Adds the explicit end of a whole answer."""
         number = self.next_number
-        head = FrameHead(number, frames=number, checksum=self.checksum)
+        head = FrameHeader(number, frames=number, checksum=self.checksum)
         self.finished = True
         self._append(Frame(head))
 
     def fail(self, reason: Failure) -> None:
         """Adds the end of an answer that was cut or never began."""
         self.finished = True
-        self._append(Frame(FrameHead(self.next_number, failure=reason)))
+        self._append(Frame(FrameHeader(self.next_number, failure=reason)))
 
     def _append(self, frame: Frame) -> None:
         self.frames.append(frame)
@@ -126,14 +126,14 @@
         unsent = self.next_number - self.sent
         return unsent > 1 and self.kept_bytes > self.limit
 
-    def from_number(self, number: int) -> list[Frame]:
+    def frames_from(self, number: int) -> list[Frame]:
         """Returns the frames from `number` on.
 
         Raises:
-            TailLostError: The first of them is no longer kept.
+            ReplayLostError: The first of them is no longer kept.
         """
         if number < self.first_kept:
-            raise TailLostError(f"frame {number} is no longer kept")
+            raise ReplayLostError(f"frame {number} is no longer kept")
         start = number - self.first_kept
         return [self.frames[i] for i in range(start, len(self.frames))]
 
@@ -142,11 +142,11 @@
         self.sent = max(self.sent, number)
 
 
-class BrokenAnswerError(Exception):
+class BrokenResponseError(Exception):
     """The frames that came are not the ones that were sent."""
 
 
-class AnswerReader:
+class ResponseReader:
     """Checks that frames come whole, in order, and each once.
 
     Attributes:
@@ -163,25 +163,25 @@
         """Checks the next frame; returns False for one already had.
 
         Raises:
-            BrokenAnswerError: A frame is missing or the sum is wrong.
+            BrokenResponseError: A frame is missing or the sum is wrong.
         """
         head = frame.head
         if head.n < self.next_number:
             return False
         if head.n > self.next_number:
-            raise BrokenAnswerError(
+            raise BrokenResponseError(
                 f"frame {self.next_number} is missing before {head.n}"
             )
         self.next_number += 1
         self.checksum = zlib.crc32(frame.data, self.checksum)
         if head.is_end:
             if head.frames != head.n or head.checksum != self.checksum:
-                raise BrokenAnswerError("the answer's end does not match it")
+                raise BrokenResponseError("the answer's end does not match it")
             self.whole = True
         return True
 
 
-_HEAD_DECODER = msgspec.json.Decoder(FrameHead)
+_HEAD_DECODER = msgspec.json.Decoder(FrameHeader)
 
 
 class FrameParser:
@@ -189,7 +189,7 @@
 
     def __init__(self):
         self.buffer = bytearray()
-        self.head: FrameHead | None = None
+        self.head: FrameHeader | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
         """Returns the frames that the data completes."""
@@ -203,13 +203,13 @@
         if self.head is None:
             end = self.buffer.find(b"\n")
             if end < 0:
-                if len(self.buffer) > MAX_LINE:
-                    raise BrokenAnswerError("a frame's line does not end")
+                if len(self.buffer) > MAX_HEADER_BYTES:
+                    raise BrokenResponseError("a frame's line does not end")
                 return None
             try:
                 self.head = _HEAD_DECODER.decode(bytes(self.buffer[:end]))
             except msgspec.DecodeError as error:
-                raise BrokenAnswerError(f"not a frame: {error}") from error
+                raise BrokenResponseError(f"not a frame: {error}") from error
             del self.buffer[: end + 1]
         if len(self.buffer) < self.head.size:
             return None
--- a/packages/coordination/src/marjoramyard/coordination/serving/prefixes.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/prefixes.py
@@ -27,7 +27,7 @@
         self.recent: OrderedDict[str, None] = OrderedDict()
         self.last_event = -1
 
-    def ran(self, prefix: str) -> None:
+    def record_run(self, prefix: str) -> None:
         """Notes that a request with this prefix ran here."""
         if not prefix:
             return
@@ -36,7 +36,7 @@
         while len(self.recent) > self.capacity:
             self.recent.popitem(last=False)
 
-    def evicted(self, number: int, prefixes: list[str]) -> None:
+    def on_evictions(self, number: int, prefixes: list[str]) -> None:
         """Takes in a numbered event of the engine."""
         if self.last_event >= 0 and number > self.last_event + 1:
             self.recent.clear()
--- a/packages/coordination/src/marjoramyard/coordination/serving/waiting.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/request_queues.py
@@ -18,7 +18,7 @@
     DEFERRABLE = "deferrable"
 
 
-class Waiting(msgspec.Struct, eq=False):
+class QueuedRequest(msgspec.Struct, eq=False):
     """One waiting request.
 
     Attributes:
@@ -32,27 +32,27 @@
     """
 
     workspace: WorkspaceId
-    klass: RequestClass
-    since: float
+    request_class: RequestClass
+    queued_at: float
     size: int
     prefix: str
     payload: Any
-    gone: bool = False
+    removed: bool = False
 
 
 class WorkspaceQueue:
     """One workspace's waiting requests: interactive first, with ageing."""
 
     def __init__(self):
-        self.lanes: dict[RequestClass, deque[Waiting]] = {
+        self.queues: dict[RequestClass, deque[QueuedRequest]] = {
             klass: deque() for klass in RequestClass
         }
         self.count = 0
         self.bytes = 0
 
-    def add(self, item: Waiting, first: bool = False) -> None:
+    def add(self, item: QueuedRequest, first: bool = False) -> None:
         """Queues a request; a retried one goes first in its class."""
-        lane = self.lanes[item.klass]
+        lane = self.queues[item.request_class]
         if first:
             lane.appendleft(item)
         else:
@@ -60,16 +60,16 @@
         self.count += 1
         self.bytes += item.size
 
-    def remove(self, item: Waiting) -> bool:
+    def remove(self, item: QueuedRequest) -> bool:
         """Voids a request; returns False if it was taken already."""
-        if item.gone:
+        if item.removed:
             return False
-        item.gone = True
+        item.removed = True
         self.count -= 1
         self.bytes -= item.size
         return True
 
-    def head(self, now: float) -> Waiting | None:
+    def head(self, now: float) -> QueuedRequest | None:
         """Returns the request to run next.
 
         A deferrable request that has waited for `AGEING_SECONDS` goes
@@ -80,13 +80,13 @@
         slow = self._first(RequestClass.DEFERRABLE)
         if quick is None or slow is None:
             return quick or slow
-        if slow.since + AGEING_SECONDS <= min(now, quick.since):
+        if slow.queued_at + AGEING_SECONDS <= min(now, quick.queued_at):
             return slow
         return quick
 
-    def _first(self, klass: RequestClass) -> Waiting | None:
-        lane = self.lanes[klass]
-        while lane and lane[0].gone:
+    def _first(self, klass: RequestClass) -> QueuedRequest | None:
+        lane = self.queues[klass]
+        while lane and lane[0].removed:
             lane.popleft()
         return lane[0] if lane else None
 
@@ -98,21 +98,21 @@
         self.workspaces: dict[WorkspaceId, WorkspaceQueue] = {}
         self.changed: set[WorkspaceId] = set()
 
-    def add(self, item: Waiting, first: bool = False) -> None:
+    def add(self, item: QueuedRequest, first: bool = False) -> None:
         """Queues a request."""
         queue = self.workspaces.setdefault(item.workspace, WorkspaceQueue())
         if queue.count == 0:
             self.changed.add(item.workspace)
         queue.add(item, first)
 
-    def remove(self, item: Waiting) -> bool:
+    def remove(self, item: QueuedRequest) -> bool:
         """Voids a request that was given up."""
         queue = self.workspaces.get(item.workspace)
         removed = queue is not None and queue.remove(item)
         self._forget_if_empty(item.workspace)
         return removed
 
-    def take(self, workspace: WorkspaceId, now: float) -> Waiting | None:
+    def pop(self, workspace: WorkspaceId, now: float) -> QueuedRequest | None:
         """Takes the workspace's next request, if it has one."""
         queue = self.workspaces.get(workspace)
         item = queue.head(now) if queue is not None else None
--- a/packages/coordination/src/marjoramyard/coordination/serving/slots.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/slots.py
@@ -1,6 +1,6 @@
 """How many requests an agent runs at once on its endpoint."""
 
-TARGET_SECONDS = 0.066
+TARGET_TOKEN_GAP_SECONDS = 0.066
 """The users' aim: 66 ms between tokens for 95 in 100."""
 _WINDOW = 200
 _PERCENTILE = 0.95
@@ -16,20 +16,22 @@
     when they keep it with room to spare. It is never below one.
     """
 
-    def __init__(self, announced: int, target: float = TARGET_SECONDS):
+    def __init__(
+        self, announced: int, target: float = TARGET_TOKEN_GAP_SECONDS
+    ):
         self.ceiling = max(1, announced)
         self.limit = self.ceiling
         self.target = target
         self.gaps: list[float] = []
 
-    def announce(self, slots: int) -> None:
+    def set_announced(self, slots: int) -> None:
         """Takes the endpoint's own word for the most it can run."""
         slots = max(1, slots)
         if slots != self.ceiling:
             self.ceiling = slots
             self.limit = min(self.limit, slots) if self.gaps else slots
 
-    def observe(self, gap: float) -> None:
+    def record_gap(self, gap: float) -> None:
         """Counts one time between tokens, in seconds."""
         self.gaps.append(gap)
         if len(self.gaps) >= _WINDOW:
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -8,8 +8,8 @@
 import aiohttp
 
 from marjoramyard.coordination.fairness.scheduler import FairScheduler
-from marjoramyard.coordination.serving.events import EventCutter
-from marjoramyard.coordination.serving.frames import AnswerTail
+from marjoramyard.coordination.serving.events import EventSplitter
+from marjoramyard.coordination.serving.frames import ReplayBuffer
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.agent.meters import METERS
 from marjoramyard.fleet.messages import RunRequest
@@ -58,7 +58,7 @@
         self.endpoint = endpoint
         self.scheduler = scheduler
         self.meter = METERS.get(kind)()
-        self.tail = AnswerTail()
+        self.tail = ReplayBuffer()
         self.state = AttemptState.ADMITTED
         self.progress = asyncio.Event()
         self.drained = asyncio.Event()
@@ -72,7 +72,7 @@
         self.last_token_at: float | None = None
         self.stream_tail = b""
         self.upstream: aiohttp.ClientResponse | None = None
-        self.events: EventCutter | None = None
+        self.events: EventSplitter | None = None
         self.resume_path = ""
         self.resumes = 0
         self.task: asyncio.Task | None = None
@@ -158,7 +158,7 @@
         self.headers = end_to_end(list(response.headers.items()))
         self.tail.begin(self.status, self.headers)
         if is_stream(self.headers):
-            self.events = EventCutter()
+            self.events = EventSplitter()
             self.resume_path = response.headers.get("Content-Location", "")
             self.progress.set()
 
@@ -196,7 +196,7 @@
 
     async def _take(self, chunk: bytes) -> None:
         self._observe(chunk)
-        self.tail.data(chunk)
+        self.tail.add_data(chunk)
         self.progress.set()
         while self.tail.is_full:
             self.drained.clear()
@@ -213,7 +213,7 @@
         This is the usual protocol of server-sent events: the stream's place
         from Content-Location, the last event in Last-Event-ID.
         """
-        self.events.drop_rest()
+        self.events.discard_partial()
         address = self.endpoint.announced.address
         response = await session.get(
             f"http://{address}{self.resume_path}",
@@ -235,7 +235,7 @@
         if tokens:
             if self.last_token_at is not None:
                 gap = (now - self.last_token_at) / tokens
-                self.endpoint.slots.observe(gap)
+                self.endpoint.slots.record_gap(gap)
             self.last_token_at = now
         if self.run_request.call is not None:
             self.answer += chunk
@@ -293,7 +293,7 @@
         number = first
         try:
             while self.reader is me:
-                frames = self.tail.from_number(number)
+                frames = self.tail.frames_from(number)
                 if frames:
                     # One write for all that is there: a system call for
                     # each frame was a tenth of the agent's time.
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -38,9 +38,9 @@
             logger.info("endpoint_announced", name=word.name, state=word.state)
         self.announced = word
         self.heard_at = time.monotonic()
-        self.slots.announce(self._capped(word.slots))
+        self.slots.set_announced(self._capped(word.slots))
         if word.event_number >= 0:
-            self.prefixes.evicted(word.event_number, word.evicted)
+            self.prefixes.on_evictions(word.event_number, word.evicted)
         return is_restart or before.state != word.state
 
     def _capped(self, slots: int) -> int:
--- a/packages/fleet/src/marjoramyard/fleet/agent/runs.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/runs.py
@@ -8,7 +8,7 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.coordination.serving.frames import KEEPALIVE, TailLostError
+from marjoramyard.coordination.serving.frames import KEEPALIVE, ReplayLostError
 from marjoramyard.fleet.agent.attempts import Attempt, AttemptState
 from marjoramyard.fleet.agent.calls import finish_call, start_call
 from marjoramyard.fleet.agent.endpoint import Endpoint
@@ -179,7 +179,7 @@
     def _settle(self, attempt: Attempt, reason: Failure | None) -> None:
         run = attempt.run_request
         if reason is None:
-            self.endpoint.prefixes.ran(run.prefix)
+            self.endpoint.prefixes.record_run(run.prefix)
         if attempt.held_suspect:
             fingerprint = Fingerprint(run.fingerprint)
             self.guard.release(fingerprint, clear=reason is None)
@@ -246,7 +246,7 @@
         self.app.metrics.count("resumes")
         try:
             return await self._stream(request, attempt, first)
-        except TailLostError:
+        except ReplayLostError:
             raise_failure(
                 Kind.ANSWER_CUT, "the frames are gone", Outcome.UNKNOWN
             )
--- a/packages/fleet/src/marjoramyard/fleet/entry/answers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/answers.py
@@ -6,7 +6,7 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.coordination.serving.frames import Frame, FrameHead
+from marjoramyard.coordination.serving.frames import Frame, FrameHeader
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import FailureBody
 from marjoramyard.fleet.util.headers import copy_headers, is_stream
@@ -37,7 +37,7 @@
         self.request = request
         self.stall_seconds = stall_seconds
         self.response: web.StreamResponse | None = None
-        self.head: FrameHead | None = None
+        self.head: FrameHeader | None = None
         self.buffer = bytearray()
         self.first_byte_at: float | None = None
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/desks.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/desks.py
@@ -14,7 +14,10 @@
     TotalsLink,
 )
 from marjoramyard.coordination.governance.directory import DirectoryRow
-from marjoramyard.coordination.serving.waiting import ServiceQueue, Waiting
+from marjoramyard.coordination.serving.request_queues import (
+    QueuedRequest,
+    ServiceQueue,
+)
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import (
@@ -144,7 +147,7 @@
                 request was not run.
         """
         self._check_limits(request)
-        item = Waiting(
+        item = QueuedRequest(
             request.workspace_id,
             request.request_class,
             time.monotonic(),
@@ -197,7 +200,7 @@
         """Gives an agent's free slot to the workspace that it names."""
         now = time.monotonic()
         workspace = WorkspaceId(message.workspace)
-        item = self.queue.take(workspace, now)
+        item = self.queue.pop(workspace, now)
         if item is None or item.payload.done():
             self._note_emptied(workspace)
             return GrantReply(False)
--- a/packages/fleet/src/marjoramyard/fleet/entry/links.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/links.py
@@ -8,10 +8,10 @@
 from result import Err
 
 from marjoramyard.coordination.serving.frames import (
-    AnswerReader,
-    BrokenAnswerError,
+    BrokenResponseError,
     Frame,
     FrameParser,
+    ResponseReader,
 )
 from marjoramyard.fleet.messages import CancelReply, FailureBody, RunRequest
 from marjoramyard.fleet.paths import RUN_HEADER, RUN_PATH
@@ -38,7 +38,7 @@
     aiohttp.ClientError,
     TimeoutError,
     OSError,
-    BrokenAnswerError,
+    BrokenResponseError,
 )
 
 
@@ -79,7 +79,7 @@
         self.address = address
         self.run = run
         self.body = body
-        self.reader = AnswerReader()
+        self.reader = ResponseReader()
         self.admitted = False
         self.may_have_arrived = False
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/requests.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/requests.py
@@ -12,7 +12,7 @@
     Workspace,
 )
 from marjoramyard.coordination.serving.prefixes import prefix_digest
-from marjoramyard.coordination.serving.waiting import RequestClass
+from marjoramyard.coordination.serving.request_queues import RequestClass
 from marjoramyard.fleet.messages import CallTicket
 from marjoramyard.kernel.ids import Fingerprint, ServiceId, WorkspaceId
 
--- a/packages/fleet/tests/entry/test_desks.py
+++ b/packages/fleet/tests/entry/test_desks.py
@@ -5,7 +5,10 @@
 import pytest
 
 from marjoramyard.coordination.governance.directory import DirectoryRow
-from marjoramyard.coordination.serving.waiting import RequestClass, Waiting
+from marjoramyard.coordination.serving.request_queues import (
+    QueuedRequest,
+    RequestClass,
+)
 from marjoramyard.fleet.entry.desks import Desks
 from marjoramyard.kernel.errors import FleetError, Kind
 
@@ -67,7 +70,7 @@
     desk._tell = lambda view, whole=False: told.add(view.row.incarnation)
     desk.refresh(0.0)
     assert told == set()
-    item = Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    item = QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     desk.queue.add(item)
     for _ in range(500):
         desk.refresh(1e9)
@@ -83,7 +86,9 @@
         view.free = 1 if number < 3 else 0
     told = []
     desk._tell = lambda view, whole=False: told.append(view.free)
-    desk.queue.add(Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None))
+    desk.queue.add(
+        QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    )
     desk._flush()
     assert sorted(told) == [0, 0, 1, 1, 1]
 
@@ -142,7 +147,9 @@
     """A workspace floods an entry; its next request must not be held."""
     desks = make_desks()
     desk = desks.get("chat")
-    desk.queue.add(Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None))
+    desk.queue.add(
+        QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    )
     with pytest.raises(FleetError) as refused:
         await desk.wait(request_, first=False)
     reason = refused.value.failure
