--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -97,12 +97,14 @@
     scheduler = FairScheduler(Totals("a"), "z", lambda _: 1.0, FairnessPolicy())
     for n in range(workspaces):
         scheduler.totals.add(f"w{n}", float(n % 97) + 1.0)
-    scheduler.hear("e", "z", 1, 0.0)
-    scheduler.offer("e", [OfferRow(f"w{n}", 10**9) for n in range(backlogged)])
+    scheduler.record_message("e", "z", 1, 0.0)
+    scheduler.update_offers(
+        "e", [OfferRow(f"w{n}", 10**9) for n in range(backlogged)]
+    )
     started = time.perf_counter()
     for _ in range(rounds):
-        choice = scheduler.next(lambda _: False)
-        scheduler.taken(choice)
+        choice = scheduler.choose(lambda _: False)
+        scheduler.record_grant(choice)
         scheduler.charge(choice.workspace, 40.0)
     return (time.perf_counter() - started) / rounds * 1e6
 
--- a/bench/fairness_model.py
+++ b/bench/fairness_model.py
@@ -16,7 +16,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.coordination.serving.prefixes import PrefixHistory
 
 TOKENS_PER_SECOND = 40.0
@@ -330,8 +330,8 @@
         self.entries = [Totals(f"entry-{n}") for n in range(len(self.queues))]
         self.links = {
             (a, e): (
-                TotalsLink(agent.totals),
-                TotalsLink(entry),
+                TotalsSync(agent.totals),
+                TotalsSync(entry),
             )
             for a, agent in enumerate(self.agents)
             for e, entry in enumerate(self.entries)
@@ -343,15 +343,17 @@
     def exchange(self):
         """What offers carry: backlogs now, totals as of the last time."""
         for (a, e), (agent_link, entry_link) in self.links.items():
-            entry_link.incoming(agent_link.outgoing())
-            agent_link.incoming(entry_link.outgoing())
+            entry_link.apply_delta(agent_link.make_delta())
+            agent_link.apply_delta(entry_link.make_delta())
             self.tell(a, e)
         self.at(self.scenario.staleness, self.exchange)
 
     def tell(self, a, e):
         self.sequence += 1
         scheduler = self.agents[a]
-        scheduler.hear(f"entry-{e}", f"z{e % 3}", self.sequence, self.now)
+        scheduler.record_message(
+            f"entry-{e}", f"z{e % 3}", self.sequence, self.now
+        )
         rows = [
             OfferRow(n, len(q), q[0].prefix)
             for n, q in self.queues[e].items()
@@ -374,21 +376,21 @@
     def on_ended(self, run):
         scheduler = self.agents[run[1]]
         scheduler.release(run[0].workspace, self.reserved.pop(id(run[0])))
-        scheduler.finished(run[0].workspace, run[0].cost)
+        scheduler.record_finish(run[0].workspace, run[0].cost)
 
     def dispatch(self):
         for a, scheduler in enumerate(self.agents):
             while self.up[a] and self.free[a] > 0:
-                choice = scheduler.next(self.warm_at(a))
+                choice = scheduler.choose(self.warm_at(a))
                 if choice is None:
                     break
-                scheduler.taken(choice)
+                scheduler.record_grant(choice)
                 entry = int(choice.entry.partition("-")[2])
                 if not self.queues[entry][choice.workspace]:
-                    scheduler.unused(choice)
+                    scheduler.withdraw_unused(choice)
                     continue
                 request = self.queues[entry][choice.workspace][0]
-                reserve = scheduler.started(choice.workspace)
+                reserve = scheduler.record_start(choice.workspace)
                 self.reserved[id(request)] = reserve
                 self.start(a, entry, choice.workspace)
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -25,7 +25,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.coordination.governance.bundle import BundleView
 from marjoramyard.coordination.governance.commands import StartCall
 from marjoramyard.coordination.governance.directory import (
@@ -204,8 +204,10 @@
     scheduler = FairScheduler(
         Totals("agent"), "z", lambda _: 1.0, FairnessPolicy()
     )
-    scheduler.hear("entry", "z", 1, 0.0)
-    scheduler.offer("entry", [OfferRow(f"w{n}", 5) for n in range(count)])
+    scheduler.record_message("entry", "z", 1, 0.0)
+    scheduler.update_offers(
+        "entry", [OfferRow(f"w{n}", 5) for n in range(count)]
+    )
     for n in range(count):
         scheduler.charge(f"w{n}", 1.0 + n % 7)
     return scheduler
@@ -232,10 +234,10 @@
     totals = Totals("entry")
     for first in range(0, count, 100):
         source = Totals(f"agent-{first // 100}")
-        source.learn({})
+        source.update_recovery({})
         for n in range(100):
             source.add(f"workspace-{n}", 1.0 + first + n)
-        TotalsLink(totals).incoming(TotalsLink(source).outgoing())
+        TotalsSync(totals).apply_delta(TotalsSync(source).make_delta())
     return totals
 
 
@@ -245,7 +247,7 @@
     counts = [1000, 5000, 10000, 20000]
     sizes = []
     for n in counts:
-        delta = TotalsLink(_build_totals(n)).outgoing(10**9)
+        delta = TotalsSync(_build_totals(n)).make_delta(10**9)
         sizes.append((n, len(msgspec.json.encode(delta))))
     return [
         *memory_fit("entry, per row of totals", _build_totals, counts),
--- a/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
@@ -66,7 +66,7 @@
 
     zone: Zone
     sequence: int
-    heard_at: float
+    last_received_at: float
     workspaces: set[WorkspaceId]
 
 
@@ -95,12 +95,12 @@
         self.reserved: dict[WorkspaceId, float] = {}
         self.average_cost: dict[WorkspaceId, float] = {}
         self.heap: list[tuple[float, WorkspaceId]] = []
-        self.keys: dict[WorkspaceId, float] = {}
-        self.floor = 0.0
+        self.heap_keys: dict[WorkspaceId, float] = {}
+        self.system_virtual_time = 0.0
 
     # What entries tell.
 
-    def hear(
+    def record_message(
         self, entry: Incarnation, zone: Zone, sequence: int, now: float
     ) -> bool:
         """Notes a message of an entry; returns whether it is the newest."""
@@ -111,17 +111,19 @@
         if sequence <= view.sequence:
             return False
         view.sequence = sequence
-        view.heard_at = now
+        view.last_received_at = now
         return True
 
-    def offer(self, entry: Incarnation, rows: Iterable[OfferRow]) -> None:
+    def update_offers(
+        self, entry: Incarnation, rows: Iterable[OfferRow]
+    ) -> None:
         """Takes in an entry's counts; each replaces what stood before."""
         view = self.entries[entry]
         for row in rows:
             if row.waiting <= 0:
                 self._withdraw(entry, row.workspace)
                 continue
-            self._came_back(row.workspace)
+            self._lift_if_idle(row.workspace)
             offers = self.offers.setdefault(row.workspace, {})
             offers[entry] = Offer(entry, view.zone, row.waiting, row.prefix)
             view.workspaces.add(row.workspace)
@@ -135,14 +137,14 @@
         named = {row.workspace for row in rows if row.waiting > 0}
         for workspace in self.entries[entry].workspaces - named:
             self._withdraw(entry, workspace)
-        self.offer(entry, rows)
+        self.update_offers(entry, rows)
 
     def expire(self, older_than: float) -> list[Incarnation]:
         """Forgets entries not heard from since; returns them."""
         gone = [
             entry
             for entry, view in self.entries.items()
-            if view.heard_at < older_than
+            if view.last_received_at < older_than
         ]
         for entry in gone:
             for workspace in list(self.entries[entry].workspaces):
@@ -161,10 +163,10 @@
 
     # The choice.
 
-    def level(self, workspace: WorkspaceId) -> float:
+    def virtual_time(self, workspace: WorkspaceId) -> float:
         """Returns service per share, with what its runs still reserve."""
         share = self.share_of(workspace)
-        level = self.totals.level(workspace, share)
+        level = self.totals.virtual_time(workspace, share)
         return level + self.reserved.get(workspace, 0.0) / share
 
     def has_waiting(self) -> bool:
@@ -179,7 +181,7 @@
             for offer in offers.values()
         )
 
-    def next(self, is_warm: Callable[[str], bool]) -> Choice | None:
+    def choose(self, is_warm: Callable[[str], bool]) -> Choice | None:
         """Chooses the workspace and the entry for one free slot."""
         candidates = self._candidates()
         if not candidates:
@@ -190,7 +192,9 @@
         )
         for _, workspace in candidates:
             self._push(workspace)
-        self.floor = max(self.floor, candidates[0][0])
+        self.system_virtual_time = max(
+            self.system_virtual_time, candidates[0][0]
+        )
         offer = self._best_offer(best[1], is_warm)
         return Choice(best[1], offer.entry)
 
@@ -200,16 +204,16 @@
         found: list[tuple[float, WorkspaceId]] = []
         while self.heap and len(found) < _MAX_CANDIDATES:
             key, workspace = self.heap[0]
-            if self.keys.get(workspace) != key:
+            if self.heap_keys.get(workspace) != key:
                 heapq.heappop(self.heap)
                 continue
             if found and key > found[0][0] + slack:
                 break
             heapq.heappop(self.heap)
-            del self.keys[workspace]
+            del self.heap_keys[workspace]
             if workspace not in self.offers:
                 continue
-            level = self.level(workspace)
+            level = self.virtual_time(workspace)
             if level > key:
                 self._push(workspace)
                 continue
@@ -219,11 +223,11 @@
         return found
 
     def _push(self, workspace: WorkspaceId) -> None:
-        level = self.level(workspace)
-        known = self.keys.get(workspace)
+        level = self.virtual_time(workspace)
+        known = self.heap_keys.get(workspace)
         if known is not None and known <= level:
             return
-        self.keys[workspace] = level
+        self.heap_keys[workspace] = level
         heapq.heappush(self.heap, (level, workspace))
 
     def _offer_bonus(self, offer: Offer, is_warm: Callable) -> float:
@@ -245,7 +249,7 @@
             key=lambda o: (self._offer_bonus(o, is_warm), o.waiting, o.entry),
         )
 
-    def may_go_first(self, workspace: WorkspaceId) -> bool:
+    def may_bypass_queue(self, workspace: WorkspaceId) -> bool:
         """Returns whether a direct run of the workspace passes nobody.
 
         A direct run that passed a waiting workspace with a lower level
@@ -256,12 +260,12 @@
             self._push(other)
         if not candidates:
             return True
-        self._came_back(workspace)
-        return self.level(workspace) <= candidates[0][0]
+        self._lift_if_idle(workspace)
+        return self.virtual_time(workspace) <= candidates[0][0]
 
     # What becomes of a choice.
 
-    def taken(self, choice: Choice) -> None:
+    def record_grant(self, choice: Choice) -> None:
         """Counts a granted request out of its entry's offer."""
         offer = self.offers.get(choice.workspace, {}).get(choice.entry)
         if offer is None:
@@ -270,13 +274,13 @@
         if offer.waiting <= 0:
             self._withdraw(choice.entry, choice.workspace)
 
-    def unused(self, choice: Choice) -> None:
+    def withdraw_unused(self, choice: Choice) -> None:
         """Drops an offer whose grant came back: nothing waits there."""
         self._withdraw(choice.entry, choice.workspace)
 
-    def started(self, workspace: WorkspaceId) -> float:
+    def record_start(self, workspace: WorkspaceId) -> float:
         """Notes a run; returns what it reserves until it is charged."""
-        self._came_back(workspace)
+        self._lift_if_idle(workspace)
         self.running[workspace] = self.running.get(workspace, 0) + 1
         cost = self.average_cost.get(workspace, 0.0) * self.policy.reserve
         self._reserve(workspace, cost)
@@ -290,7 +294,7 @@
         """Takes back what was reserved and is charged by now."""
         self._reserve(workspace, -reserved)
 
-    def finished(self, workspace: WorkspaceId, cost: float) -> None:
+    def record_finish(self, workspace: WorkspaceId, cost: float) -> None:
         """Notes the end of a run that cost so much in all."""
         left = self.running.get(workspace, 0) - 1
         self.running[workspace] = left
@@ -313,7 +317,7 @@
         """Returns whether the workspace waits or runs here."""
         return workspace in self.offers or workspace in self.running
 
-    def _came_back(self, workspace: WorkspaceId) -> None:
+    def _lift_if_idle(self, workspace: WorkspaceId) -> None:
         """Lifts a workspace that was idle to the least active one's level.
 
         Without this an idle workspace hoards credit, and its burst shuts
@@ -323,7 +327,7 @@
         """
         if self.is_active(workspace):
             return
-        behind = self.floor - self.level(workspace)
+        behind = self.system_virtual_time - self.virtual_time(workspace)
         if behind > 0:
             lift = self.totals.lifts.get(workspace, 0.0)
             self.totals.lift(workspace, lift + behind)
@@ -335,7 +339,7 @@
         both sides would wait for as long as the cut lasted. The limit is
         above the fairness bound, so it acts only after a cut.
         """
-        levels = {name: self.level(name) for name in self.offers}
+        levels = {name: self.virtual_time(name) for name in self.offers}
         if not levels:
             return
         least = max(levels.values()) - self.policy.credit_limit
@@ -344,9 +348,10 @@
                 lift = self.totals.lifts.get(workspace, 0.0)
                 self.totals.lift(workspace, lift + least - level)
 
-    def gap(self) -> float:
+    def virtual_time_gap(self) -> float:
         """Returns the widest difference of levels among the backlogged."""
         levels = [
-            self.totals.level(name, self.share_of(name)) for name in self.offers
+            self.totals.virtual_time(name, self.share_of(name))
+            for name in self.offers
         ]
         return max(levels) - min(levels) if levels else 0.0
--- a/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
@@ -5,7 +5,7 @@
 from marjoramyard.kernel.ids import Incarnation, WorkspaceId
 
 DEFAULT_ROW_LIMIT = 400
-VERSION_GAP = 1_000_000
+RESTART_VERSION_GAP = 1_000_000
 """More changes than an agent makes between two exchanges."""
 _DECIMALS = 1
 """A tenth of a token on the wire; the rest would only cost bytes."""
@@ -46,22 +46,22 @@
 
     def __init__(self):
         self.version = 0
-        self.newest = 0
+        self.last_change_version = 0
         self.served: dict[WorkspaceId, float] = {}
         self.lifts: dict[WorkspaceId, float] = {}
         self.changed_at: dict[WorkspaceId, int] = {}
 
-    def touch(self, workspace: WorkspaceId, version: int) -> None:
+    def mark_changed(self, workspace: WorkspaceId, version: int) -> None:
         """Notes when a workspace's rows last changed.
 
         Re-inserting keeps the order of the last change, and versions never
         go back in that order, so that a walk from the end may stop early.
         """
-        self.newest = max(self.newest, version)
+        self.last_change_version = max(self.last_change_version, version)
         self.changed_at.pop(workspace, None)
-        self.changed_at[workspace] = self.newest
+        self.changed_at[workspace] = self.last_change_version
 
-    def after(self, since: int, limit: int) -> OriginDelta | None:
+    def changes_since(self, since: int, limit: int) -> OriginDelta | None:
         """Returns rows changed since a version, oldest first.
 
         Rows that came in one message share a version and travel together,
@@ -108,12 +108,15 @@
     """
 
     def __init__(
-        self, me: str, life: Incarnation | None = None, step: float = 0.0
+        self,
+        name: str,
+        incarnation: Incarnation | None = None,
+        step: float = 0.0,
     ):
-        self.me = me
-        self.life = life or me
+        self.name = name
+        self.incarnation = incarnation or name
         self.step = step
-        self.has_learned = False
+        self.is_recovered = False
         self.unpublished: dict[WorkspaceId, float] = {}
         self.origins: dict[Incarnation, OriginRows] = {}
         self.sums: dict[WorkspaceId, float] = {}
@@ -130,30 +133,30 @@
         self.sums[workspace] = self.sums.get(workspace, 0.0) + amount
         grown = self.unpublished.get(workspace, 0.0) + amount
         self.unpublished[workspace] = grown
-        if self.has_learned and grown >= self.step:
+        if self.is_recovered and grown >= self.step:
             self._publish(workspace)
 
     def _publish(self, workspace: WorkspaceId) -> None:
         grown = self.unpublished.pop(workspace)
-        mine = self._origin(self.me)
+        mine = self._origin(self.name)
         mine.version += 1
-        mine.touch(workspace, mine.version)
+        mine.mark_changed(workspace, mine.version)
         mine.served[workspace] = mine.served.get(workspace, 0.0) + grown
 
-    def learn(self, held: dict[Incarnation, int]) -> None:
+    def update_recovery(self, held: dict[Incarnation, int]) -> None:
         """Notes that a peer answered, and what it holds of our last life.
 
         It sends those rows, perhaps in parts. Once all are here, our
         versions go on far behind them: other peers may hold later ones of
         our last life, and would take our new rows for rows that they have.
         """
-        last = held.get(self.me, 0)
-        mine = self.origins.get(self.me)
-        if self.has_learned or (mine.version if mine else 0) < last:
+        last = held.get(self.name, 0)
+        mine = self.origins.get(self.name)
+        if self.is_recovered or (mine.version if mine else 0) < last:
             return
-        self.has_learned = True
+        self.is_recovered = True
         if mine is not None and last:
-            mine.version += VERSION_GAP
+            mine.version += RESTART_VERSION_GAP
         for workspace, grown in list(self.unpublished.items()):
             if grown >= self.step:
                 self._publish(workspace)
@@ -162,13 +165,13 @@
         """Raises the workspace's lift to at least `value`."""
         if value <= self.lifts.get(workspace, 0.0):
             return
-        mine = self._origin(self.me)
+        mine = self._origin(self.name)
         mine.version += 1
-        mine.touch(workspace, mine.version)
+        mine.mark_changed(workspace, mine.version)
         mine.lifts[workspace] = value
         self.lifts[workspace] = value
 
-    def level(self, workspace: WorkspaceId, share: float) -> float:
+    def virtual_time(self, workspace: WorkspaceId, share: float) -> float:
         """Returns service per share, with the lift."""
         served = self.sums.get(workspace, 0.0) / share
         return served + self.lifts.get(workspace, 0.0)
@@ -179,26 +182,26 @@
         After a gap (rows in between were lost) the rows are good, but the
         version stays, so that what is missing is still asked for.
         """
-        if name == self.me:
-            self._merge_last_life(delta)
+        if name == self.name:
+            self._merge_own_rows(delta)
             return
         rows = self._origin(name)
         for workspace in self._merge_rows(rows, delta):
-            rows.touch(workspace, delta.upto)
+            rows.mark_changed(workspace, delta.upto)
         if delta.since <= rows.version:
             rows.version = max(rows.version, delta.upto)
 
-    def _merge_last_life(self, delta: OriginDelta) -> None:
+    def _merge_own_rows(self, delta: OriginDelta) -> None:
         """Takes back what we counted before we were restarted."""
-        mine = self._origin(self.me)
+        mine = self._origin(self.name)
         changed = self._merge_rows(mine, delta)
-        if self.has_learned:
+        if self.is_recovered:
             # A peer knew more of it than the one that we learned it from.
             mine.version += 1
         elif delta.since <= mine.version:
             mine.version = max(mine.version, delta.upto)
         for workspace in changed:
-            mine.touch(workspace, mine.version)
+            mine.mark_changed(workspace, mine.version)
 
     def _merge_rows(
         self, rows: OriginRows, delta: OriginDelta
@@ -237,7 +240,7 @@
         }
 
 
-class TotalsLink:
+class TotalsSync:
     """What one peer holds, by its own last word.
 
     The word is absolute, so a lost message costs nothing, and rows that the
@@ -247,24 +250,24 @@
     def __init__(self, totals: Totals):
         self.totals = totals
         self.peer = Incarnation("")
-        self.peer_holds: dict[Incarnation, int] = {}
+        self.peer_versions: dict[Incarnation, int] = {}
 
-    def outgoing(self, limit: int = DEFAULT_ROW_LIMIT) -> TotalsDelta:
+    def make_delta(self, limit: int = DEFAULT_ROW_LIMIT) -> TotalsDelta:
         """Returns what the peer lacks; a repeat or a loss does no harm."""
         found: dict[Incarnation, OriginDelta] = {}
         for name, rows in self.totals.origins.items():
             if limit <= 0:
                 break
-            since = self.peer_holds.get(name, 0)
+            since = self.peer_versions.get(name, 0)
             if rows.version <= since:
                 continue
-            delta = rows.after(since, limit)
+            delta = rows.changes_since(since, limit)
             if delta is not None:
                 found[name] = delta
                 limit -= len(delta.served)
-        return TotalsDelta(self.totals.life, self.totals.held(), found)
+        return TotalsDelta(self.totals.incarnation, self.totals.held(), found)
 
-    def incoming(self, delta: TotalsDelta) -> None:
+    def apply_delta(self, delta: TotalsDelta) -> None:
         """Merges the peer's rows and learns what it holds.
 
         A restarted peer has a new incarnation and holds nothing: its word
@@ -273,11 +276,11 @@
         """
         if delta.sender == self.peer:
             for name, version in delta.held.items():
-                known = self.peer_holds.get(name, 0)
-                self.peer_holds[name] = max(known, version)
+                known = self.peer_versions.get(name, 0)
+                self.peer_versions[name] = max(known, version)
         else:
             self.peer = delta.sender
-            self.peer_holds = dict(delta.held)
+            self.peer_versions = dict(delta.held)
         for name, rows in delta.origins.items():
             self.totals.merge(name, rows)
-        self.totals.learn(delta.held)
+        self.totals.update_recovery(delta.held)
--- a/packages/coordination/tests/fairness/test_scheduler_properties.py
+++ b/packages/coordination/tests/fairness/test_scheduler_properties.py
@@ -8,7 +8,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 
 MAX_COST = 40.0
 SHARES = {"w0": 1.0, "w1": 2.0, "w2": 0.5, "w3": 1.0}
@@ -44,7 +44,7 @@
 
     def hear_backlog(self):
         self.sequence += 1
-        self.scheduler.hear("entry", "zone-a", self.sequence, 0.0)
+        self.scheduler.record_message("entry", "zone-a", self.sequence, 0.0)
         rows = [OfferRow(w, 1000) for w in SHARES]
         self.scheduler.replace_offers("entry", rows)
 
@@ -64,37 +64,37 @@
             agent.hear_backlog()
 
     def links(self, agent):
-        me = agent.scheduler.totals.life
+        me = agent.scheduler.totals.incarnation
         if me not in self.entry_links:
-            self.entry_links[me] = TotalsLink(self.entry)
-            agent.link = TotalsLink(agent.scheduler.totals)
+            self.entry_links[me] = TotalsSync(self.entry)
+            agent.link = TotalsSync(agent.scheduler.totals)
         return self.entry_links[me], agent.link
 
     def sync(self, agent, fate):
         """Exchanges totals; either way may be lost or come twice."""
         entry_link, agent_link = self.links(agent)
-        there = entry_link.outgoing()
+        there = entry_link.make_delta()
         self.old_deltas.append((agent_link, there))
         if fate != "lost":
-            agent_link.incoming(there)
+            agent_link.apply_delta(there)
         if fate == "twice":
-            agent_link.incoming(there)
-        back = agent_link.outgoing()
+            agent_link.apply_delta(there)
+        back = agent_link.make_delta()
         if fate in ("ok", "twice"):
-            entry_link.incoming(back)
+            entry_link.apply_delta(back)
 
     def replay_old(self, place):
         if self.old_deltas:
             link, delta = self.old_deltas[place % len(self.old_deltas)]
-            link.incoming(delta)
+            link.apply_delta(delta)
 
     def grant(self, agent, cost):
         if len(agent.running) >= agent.slots:
             return
-        choice = agent.scheduler.next(lambda _: False)
+        choice = agent.scheduler.choose(lambda _: False)
         assert choice is not None, "a free slot stayed idle beside a backlog"
-        agent.scheduler.taken(choice)
-        agent.scheduler.started(choice.workspace)
+        agent.scheduler.record_grant(choice)
+        agent.scheduler.record_start(choice.workspace)
         agent.running.append([choice.workspace, cost])
         self.note_unseen(agent)
 
@@ -114,16 +114,16 @@
             agent.scheduler.charge(run[0], part)
             if run[1] <= 0:
                 agent.running.remove(run)
-                agent.scheduler.finished(run[0], MAX_COST)
+                agent.scheduler.record_finish(run[0], MAX_COST)
 
     def restart(self, agent):
         """Its runs end, and what nobody else has seen yet is forgotten."""
         own = agent.scheduler.totals
         for workspace in SHARES:
-            mine = counted(own, own.me, workspace)
+            mine = counted(own, own.name, workspace)
             mine += own.unpublished.get(workspace, 0.0)
             self.lost[workspace] += mine - counted(
-                self.entry, own.me, workspace
+                self.entry, own.name, workspace
             )
         agent.start()
         for _ in range(2):
@@ -178,18 +178,18 @@
     writer out for as long as that hour's work; lifted, both get turns.
     """
     scheduler = make_scheduler("a")
-    scheduler.hear("entry", "zone-a", 1, 0.0)
-    scheduler.offer("entry", [OfferRow("w0", 1000)])
+    scheduler.record_message("entry", "zone-a", 1, 0.0)
+    scheduler.update_offers("entry", [OfferRow("w0", 1000)])
     for _ in range(50):
-        scheduler.taken(scheduler.next(lambda _: False))
+        scheduler.record_grant(scheduler.choose(lambda _: False))
         scheduler.charge("w0", MAX_COST)
-    scheduler.next(lambda _: False)
-    scheduler.hear("entry", "zone-a", 2, 0.0)
-    scheduler.offer("entry", [OfferRow("w3", 1000)])
+    scheduler.choose(lambda _: False)
+    scheduler.record_message("entry", "zone-a", 2, 0.0)
+    scheduler.update_offers("entry", [OfferRow("w3", 1000)])
     turns = {"w0": 0, "w3": 0}
     for _ in range(10):
-        choice = scheduler.next(lambda _: False)
-        scheduler.taken(choice)
+        choice = scheduler.choose(lambda _: False)
+        scheduler.record_grant(choice)
         scheduler.charge(choice.workspace, MAX_COST)
         turns[choice.workspace] += 1
     assert abs(turns["w0"] - turns["w3"]) <= 1
@@ -198,11 +198,13 @@
 def test_a_flood_starves_nobody():
     """One workspace floods; another has a single request now and then."""
     scheduler = make_scheduler("a")
-    scheduler.hear("entry", "zone-a", 1, 0.0)
-    scheduler.offer("entry", [OfferRow("w0", 100_000), OfferRow("w3", 1)])
+    scheduler.record_message("entry", "zone-a", 1, 0.0)
+    scheduler.update_offers(
+        "entry", [OfferRow("w0", 100_000), OfferRow("w3", 1)]
+    )
     waited = 0
-    while scheduler.next(lambda _: False).workspace != "w3":
-        scheduler.taken(scheduler.next(lambda _: False))
+    while scheduler.choose(lambda _: False).workspace != "w3":
+        scheduler.record_grant(scheduler.choose(lambda _: False))
         scheduler.charge("w0", MAX_COST)
         waited += 1
     assert waited <= 1
@@ -216,12 +218,12 @@
     """
     policy = FairnessPolicy(credit_limit=100.0)
     scheduler = make_scheduler("a", policy)
-    scheduler.hear("entry", "zone-a", 1, 0.0)
-    scheduler.offer("entry", [OfferRow("w0", 100), OfferRow("w3", 100)])
+    scheduler.record_message("entry", "zone-a", 1, 0.0)
+    scheduler.update_offers("entry", [OfferRow("w0", 100), OfferRow("w3", 100)])
     scheduler.charge("w0", 50_000.0)
     scheduler.write_off_credit()
     served = 0.0
-    while scheduler.next(lambda _: False).workspace == "w3":
+    while scheduler.choose(lambda _: False).workspace == "w3":
         scheduler.charge("w3", MAX_COST)
         served += MAX_COST
     assert served <= 100.0 + MAX_COST
@@ -231,29 +233,29 @@
     """A knob of the bundle lets a warm prompt pass, but not far."""
     policy = FairnessPolicy(prefix_slack=50.0)
     scheduler = make_scheduler("a", policy)
-    scheduler.hear("entry", "zone-a", 1, 0.0)
-    scheduler.offer(
+    scheduler.record_message("entry", "zone-a", 1, 0.0)
+    scheduler.update_offers(
         "entry", [OfferRow("w0", 9, "warm"), OfferRow("w3", 9, "cold")]
     )
     scheduler.charge("w0", 40.0)
-    assert scheduler.next(lambda p: p == "warm").workspace == "w0"
+    assert scheduler.choose(lambda p: p == "warm").workspace == "w0"
     scheduler.charge("w0", 40.0)
-    assert scheduler.next(lambda p: p == "warm").workspace == "w3"
+    assert scheduler.choose(lambda p: p == "warm").workspace == "w3"
 
 
 def test_silent_entries_and_unused_grants_are_forgotten():
     """An entry dies with its waiting requests, and is asked no more."""
     scheduler = make_scheduler("a")
-    scheduler.hear("entry", "zone-a", 1, 10.0)
-    scheduler.offer("entry", [OfferRow("w0", 2), OfferRow("w1", 1)])
-    choice = scheduler.next(lambda _: False)
-    scheduler.unused(choice)
-    assert scheduler.next(lambda _: False).workspace != choice.workspace
+    scheduler.record_message("entry", "zone-a", 1, 10.0)
+    scheduler.update_offers("entry", [OfferRow("w0", 2), OfferRow("w1", 1)])
+    choice = scheduler.choose(lambda _: False)
+    scheduler.withdraw_unused(choice)
+    assert scheduler.choose(lambda _: False).workspace != choice.workspace
     assert scheduler.expire(older_than=11.0) == ["entry"]
-    assert scheduler.next(lambda _: False) is None
+    assert scheduler.choose(lambda _: False) is None
 
 
 def test_an_old_offer_does_not_undo_a_newer_one():
     scheduler = make_scheduler("a")
-    assert scheduler.hear("entry", "zone-a", 5, 0.0)
-    assert not scheduler.hear("entry", "zone-a", 4, 0.0)
+    assert scheduler.record_message("entry", "zone-a", 5, 0.0)
+    assert not scheduler.record_message("entry", "zone-a", 4, 0.0)
--- a/packages/coordination/tests/fairness/test_totals.py
+++ b/packages/coordination/tests/fairness/test_totals.py
@@ -6,7 +6,7 @@
 from marjoramyard.coordination.fairness.totals import (
     OriginDelta,
     Totals,
-    TotalsLink,
+    TotalsSync,
 )
 
 ROUNDED = 0.11
@@ -25,7 +25,7 @@
 @given(_events)
 def test_two_tables_agree_once_a_message_each_way_arrives(events):
     tables = [Totals("a"), Totals("b")]
-    links = [TotalsLink(table) for table in tables]
+    links = [TotalsSync(table) for table in tables]
     exchange(*links)
     charged, old = 0.0, []
     for kind, side, amount in events:
@@ -35,25 +35,25 @@
             charged += amount
         elif kind == "repeat" and old:
             there, delta = old[int(amount) % len(old)]
-            links[there].incoming(delta)
+            links[there].apply_delta(delta)
         elif kind in ("send", "lose"):
-            delta = links[me].outgoing()
+            delta = links[me].make_delta()
             old.append((other, delta))
             if kind == "send":
-                links[other].incoming(delta)
+                links[other].apply_delta(delta)
         assert all(t.sums.get("w", 0.0) <= charged + ROUNDED for t in tables)
     for _ in range(2):
-        links[1].incoming(links[0].outgoing())
-        links[0].incoming(links[1].outgoing())
+        links[1].apply_delta(links[0].make_delta())
+        links[0].apply_delta(links[1].make_delta())
     for table in tables:
         assert abs(table.sums.get("w", 0.0) - charged) <= ROUNDED
-    assert links[0].outgoing().origins == {}
+    assert links[0].make_delta().origins == {}
 
 
 def exchange(one, two, times=2):
     for _ in range(times):
-        two.incoming(one.outgoing())
-        one.incoming(two.outgoing())
+        two.apply_delta(one.make_delta())
+        one.apply_delta(two.make_delta())
 
 
 def test_a_restarted_agent_learns_everybodys_standing_from_an_entry():
@@ -65,12 +65,12 @@
     """
     entry = Totals("entry")
     first = Totals("agent", "agent~1")
-    link, old = TotalsLink(entry), TotalsLink(first)
+    link, old = TotalsSync(entry), TotalsSync(first)
     exchange(old, link)
     first.add("large", 900.0)
     exchange(old, link)
     second = Totals("agent", "agent~2")
-    new = TotalsLink(second)
+    new = TotalsSync(second)
     second.add("large", 10.0)
     exchange(new, link)
     assert second.sums["large"] == 910.0
@@ -86,7 +86,7 @@
         agent = Totals("agent", f"agent~{number}")
         agent.add("w", amount)
         for entry in (entries[place], entries[1 - place]):
-            exchange(TotalsLink(agent), TotalsLink(entry), times=3)
+            exchange(TotalsSync(agent), TotalsSync(entry), times=3)
         told += amount
         for entry in entries:
             assert abs(entry.sums["w"] - told) <= ROUNDED * (number + 1)
@@ -101,52 +101,52 @@
     """
     agent = Totals("agent", "agent~2")
     agent.add("w", 5.0)
-    agent.learn({"agent": 7})
+    agent.update_recovery({"agent": 7})
     assert agent.held() == {}
     agent.merge("agent", OriginDelta(0, 7, {"w": 100.0}))
-    agent.learn({"agent": 7})
+    agent.update_recovery({"agent": 7})
     assert agent.origins["agent"].served == {"w": 105.0}
     assert agent.held()["agent"] > 7
 
 
 def test_a_long_table_travels_in_parts():
     full, empty = Totals("a"), Totals("b")
-    full.learn({})
+    full.update_recovery({})
     for number in range(25):
         full.add(f"w{number}", 1.0)
-    here, there = TotalsLink(full), TotalsLink(empty)
+    here, there = TotalsSync(full), TotalsSync(empty)
     for _ in range(3):
-        there.incoming(here.outgoing(limit=10))
-        here.incoming(there.outgoing())
+        there.apply_delta(here.make_delta(limit=10))
+        here.apply_delta(there.make_delta())
     assert empty.sums == full.sums
 
 
 def test_rows_that_came_another_way_are_not_sent_again():
     """Three entries know the same; an agent gets each row from one."""
     source, one, two, agent = (Totals(n) for n in ("s", "e1", "e2", "a"))
-    source.learn({})
+    source.update_recovery({})
     source.add("w", 5.0)
     for entry in (one, two):
-        there, here = TotalsLink(source), TotalsLink(entry)
-        here.incoming(there.outgoing())
-    first, second = TotalsLink(one), TotalsLink(two)
-    at_agent = (TotalsLink(agent), TotalsLink(agent))
-    at_agent[0].incoming(first.outgoing())
-    second.incoming(at_agent[1].outgoing())
-    assert "s" not in second.outgoing().origins
+        there, here = TotalsSync(source), TotalsSync(entry)
+        here.apply_delta(there.make_delta())
+    first, second = TotalsSync(one), TotalsSync(two)
+    at_agent = (TotalsSync(agent), TotalsSync(agent))
+    at_agent[0].apply_delta(first.make_delta())
+    second.apply_delta(at_agent[1].make_delta())
+    assert "s" not in second.make_delta().origins
 
 
 def test_rows_that_came_together_travel_together():
     """An entry got 25 rows in one message and passes them on in parts."""
     source, entry, peer = Totals("a"), Totals("e"), Totals("b")
-    source.learn({})
+    source.update_recovery({})
     for number in range(25):
         source.add(f"w{number}", 1.0)
-    exchange(TotalsLink(source), TotalsLink(entry))
-    here, there = TotalsLink(entry), TotalsLink(peer)
+    exchange(TotalsSync(source), TotalsSync(entry))
+    here, there = TotalsSync(entry), TotalsSync(peer)
     for _ in range(4):
-        there.incoming(here.outgoing(limit=10))
-        here.incoming(there.outgoing())
+        there.apply_delta(here.make_delta(limit=10))
+        here.apply_delta(there.make_delta())
     assert peer.sums == entry.sums == source.sums
 
 
@@ -157,7 +157,7 @@
         tables[place].lift("w", value)
     for here in tables:
         for there in tables:
-            TotalsLink(there).incoming(TotalsLink(here).outgoing())
+            TotalsSync(there).apply_delta(TotalsSync(here).make_delta())
     largest = max((value for _, value in lifts), default=0.0)
     assert {t.lifts.get("w", 0.0) for t in tables} == {largest}
 
@@ -166,15 +166,15 @@
 def test_with_a_step_peers_lag_by_less_than_it_and_few_rows_travel(amounts):
     """Small growth stays here; our own level counts it at once."""
     source, peer = Totals("a", step=50.0), Totals("b")
-    source.learn({})
-    there, here = TotalsLink(source), TotalsLink(peer)
+    source.update_recovery({})
+    there, here = TotalsSync(source), TotalsSync(peer)
     messages = 0
     for amount in amounts:
         source.add("w", amount)
-        delta = there.outgoing()
+        delta = there.make_delta()
         messages += bool(delta.origins)
-        here.incoming(delta)
-        there.incoming(here.outgoing())
+        here.apply_delta(delta)
+        there.apply_delta(here.make_delta())
         lag = source.sums["w"] - peer.sums.get("w", 0.0)
         assert -ROUNDED <= lag < 50.0 + ROUNDED
     assert messages <= sum(amounts) / 50.0
@@ -197,18 +197,18 @@
     """
     entry = Totals("entry")
     first = Totals("agent", "agent~1")
-    link, old = TotalsLink(entry), TotalsLink(first)
+    link, old = TotalsSync(entry), TotalsSync(first)
     exchange(old, link)
     for number in range(25):
         first.add(f"w{number}", 10.0)
         exchange(old, link)
     second = Totals("agent", "agent~2")
-    new, view = TotalsLink(second), TotalsLink(entry)
+    new, view = TotalsSync(second), TotalsSync(entry)
     second.add("w24", 5.0)
     for _ in range(5):
-        view.incoming(new.outgoing(limit=10))
-        new.incoming(view.outgoing(limit=10))
-    view.incoming(new.outgoing())
+        view.apply_delta(new.make_delta(limit=10))
+        new.apply_delta(view.make_delta(limit=10))
+    view.apply_delta(new.make_delta())
     assert second.sums["w24"] == entry.sums["w24"] == 15.0
     assert second.sums["w3"] == entry.sums["w3"] == 10.0
 
@@ -221,15 +221,15 @@
     """
     less, more = Totals("e1"), Totals("e2")
     first = Totals("agent", "agent~1")
-    exchange(TotalsLink(first), TotalsLink(less))
+    exchange(TotalsSync(first), TotalsSync(less))
     first.add("w", 10.0)
-    exchange(TotalsLink(first), TotalsLink(less))
+    exchange(TotalsSync(first), TotalsSync(less))
     for _ in range(5):
         first.add("w", 1.0)
-        exchange(TotalsLink(first), TotalsLink(more))
+        exchange(TotalsSync(first), TotalsSync(more))
     second = Totals("agent", "agent~2")
-    exchange(TotalsLink(second), TotalsLink(less))
-    links = TotalsLink(second), TotalsLink(more)
+    exchange(TotalsSync(second), TotalsSync(less))
+    links = TotalsSync(second), TotalsSync(more)
     exchange(*links)
     second.add("w", 100.0)
     exchange(*links)
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -88,7 +88,7 @@
 
     async def execute(self, session: aiohttp.ClientSession) -> Failure | None:
         """Sends the request and takes the answer; returns why it failed."""
-        reserved = self.scheduler.started(self.workspace)
+        reserved = self.scheduler.record_start(self.workspace)
         self.meter.begin(self.body)
         self._charge()
         try:
@@ -110,7 +110,7 @@
             self.meter.end()
             self._charge()
             self.scheduler.release(self.workspace, reserved)
-            self.scheduler.finished(self.workspace, self.meter.total)
+            self.scheduler.record_finish(self.workspace, self.meter.total)
 
     async def _exchange(self, session: aiohttp.ClientSession) -> Failure | None:
         run = self.run_request
--- a/packages/fleet/src/marjoramyard/fleet/agent/slots.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slots.py
@@ -14,7 +14,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.membership import Membership
@@ -75,7 +75,7 @@
             self._share_of,
             membership.bundle.policy.fairness(),
         )
-        self.links: dict[str, TotalsLink] = {}
+        self.links: dict[str, TotalsSync] = {}
         self.addresses: dict[str, str] = {}
         self.told_busy: set[str] = set()
         self.grants: dict[str, Grant] = {}
@@ -98,7 +98,9 @@
 
     def _watch(self) -> None:
         metrics = self.app.metrics
-        metrics.gauge("fairness_gap", lambda: [(self.scheduler.gap(), {})])
+        metrics.gauge(
+            "fairness_gap", lambda: [(self.scheduler.virtual_time_gap(), {})]
+        )
         metrics.gauge("slots", self._slot_numbers)
         metrics.gauge("utilisation", lambda: [(self.utilisation(), {})])
 
@@ -146,10 +148,10 @@
 
     # Entries' word.
 
-    def link(self, entry: str) -> TotalsLink:
+    def link(self, entry: str) -> TotalsSync:
         """Returns what an entry and we have of each other's totals."""
         if entry not in self.links:
-            self.links[entry] = TotalsLink(self.totals)
+            self.links[entry] = TotalsSync(self.totals)
         return self.links[entry]
 
     def on_offer(self, message: OfferMessage) -> OfferReply:
@@ -159,21 +161,23 @@
         if message.totals is not None:
             # Totals first: a restarted agent must know everybody's
             # standing before it compares them.
-            link.incoming(message.totals)
+            link.apply_delta(message.totals)
         self.addresses[entry] = message.address
         now = time.monotonic()
         self._account()
-        if self.scheduler.hear(entry, message.zone, message.sequence, now):
+        if self.scheduler.record_message(
+            entry, message.zone, message.sequence, now
+        ):
             if message.whole:
                 self.scheduler.replace_offers(entry, message.rows)
             else:
-                self.scheduler.offer(entry, message.rows)
+                self.scheduler.update_offers(entry, message.rows)
         if message.leaving:
             self.forget(entry)
         self.pump()
         if self.free == 0:
             self.told_busy.add(entry)
-        totals = link.outgoing() if message.totals is not None else None
+        totals = link.make_delta() if message.totals is not None else None
         return OfferReply(
             self.free, len(self.addresses), totals, self.is_leaving()
         )
@@ -205,11 +209,11 @@
     def pump(self) -> None:
         """Grants every free slot to the workspace that it is owed."""
         while self.free > 0 and self.may_take_work():
-            choice = self.scheduler.next(self.endpoint.prefixes.is_warm)
+            choice = self.scheduler.choose(self.endpoint.prefixes.is_warm)
             if choice is None:
                 self._tell_free()
                 return
-            self.scheduler.taken(choice)
+            self.scheduler.record_grant(choice)
             name = secrets.token_hex(6)
             lapses_at = time.monotonic() + 2 * _GRANT_SECONDS
             self.grants[name] = Grant(choice, lapses_at)
@@ -252,7 +256,7 @@
         if not taken:
             self._account()
             self.grants.pop(name, None)
-            self.scheduler.unused(choice)
+            self.scheduler.withdraw_unused(choice)
             self.pump()
 
     def _on_taken(self, name: str, choice: Choice, reply: GrantReply) -> None:
@@ -262,7 +266,7 @@
             # The offer may be older than what has come since; without this
             # the next slot would wait for a refresh beside a full queue.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
-            self.scheduler.offer(choice.entry, [row])
+            self.scheduler.update_offers(choice.entry, [row])
             self.pump()
 
     # Runs.
@@ -284,7 +288,7 @@
         if grant:
             if self.grants.pop(grant, None) is None:
                 return failure(Kind.BUSY, "the grant has lapsed; wait anew")
-        elif self.free == 0 or not self.scheduler.may_go_first(workspace):
+        elif self.free == 0 or not self.scheduler.may_bypass_queue(workspace):
             return failure(Kind.BUSY, "no slot is free for a direct run")
         self.running += 1
         return None
--- a/packages/fleet/src/marjoramyard/fleet/entry/desks.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/desks.py
@@ -11,7 +11,7 @@
 from marjoramyard.coordination.fairness.totals import (
     Totals,
     TotalsDelta,
-    TotalsLink,
+    TotalsSync,
 )
 from marjoramyard.coordination.governance.directory import DirectoryRow
 from marjoramyard.coordination.serving.request_queues import (
@@ -57,7 +57,7 @@
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
-        self.link = TotalsLink(totals)
+        self.link = TotalsSync(totals)
         self.in_flight = 0
         self.sequence = 0
         self.told: set[WorkspaceId] = set()
@@ -352,14 +352,14 @@
         """
         is_new = not view.link.peer
         if is_new or random.random() * view.entries < 1.0:
-            return view.link.outgoing()
-        return view.link.outgoing(limit=0)
+            return view.link.make_delta()
+        return view.link.make_delta(limit=0)
 
     def _hear(self, view: AgentView, reply: OfferReply) -> None:
         view.free = reply.free
         view.entries = reply.entries
         if reply.totals is not None:
-            view.link.incoming(reply.totals)
+            view.link.apply_delta(reply.totals)
         if reply.leaving:
             view.row = msgspec.structs.replace(view.row, state="leaving")
 
--- a/packages/fleet/tests/entry/test_desks.py
+++ b/packages/fleet/tests/entry/test_desks.py
@@ -100,7 +100,7 @@
     desk = desks.get("chat")
     view = next(iter(desk.agents.values()))
     view.entries = 10
-    desk.totals.learn({})
+    desk.totals.update_recovery({})
     desk.totals.add("w", 5.0)
     assert desk._totals_for(view).origins
     view.link.peer = view.row.incarnation
