--- a/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
@@ -1,4 +1,4 @@
-"""The fair choice of the workspace that a free slot serves next."""
+"""Fair queueing: chooses the workspace that a free slot serves next."""
 
 import heapq
 from collections.abc import Callable, Iterable
@@ -9,20 +9,25 @@
 from marjoramyard.kernel.ids import Incarnation, WorkspaceId, Zone
 
 _MAX_CANDIDATES = 16
-_COST_MEMORY = 0.2
-"""Weight of the newest cost in a workspace's average cost."""
+_NEWEST_COST_WEIGHT = 0.2
+"""Weight of the newest cost in a workspace's moving average."""
 
 
 class FairnessPolicy(msgspec.Struct, frozen=True):
-    """The signed knobs of the choice, in service units per share.
+    """Scheduling parameters from the configuration bundle.
+
+    Slacks and the credit limit are in units of virtual time (service units
+    per share).
 
     Attributes:
-        prefix_slack: How far strict order may be left for a warm prefix.
-        zone_slack: How far it may be left for an entry in our zone.
-        reserve: The part of a run's expected remaining cost that counts
-            while it runs.
-        credit_limit: The most that a backlogged workspace may be behind
-            the one that is furthest ahead; older credit is written off.
+        prefix_slack: Virtual time by which a request with a cached prefix
+            may be served ahead of the strict order.
+        zone_slack: Virtual time by which a request from an entry in the
+            local zone may be served ahead of the strict order.
+        reserve: Fraction of a workspace's average cost that is reserved
+            when one of its requests starts.
+        credit_limit: Maximum lag of a backlogged workspace behind the one
+            with the largest virtual time; any further lag is written off.
     """
 
     prefix_slack: float = 0.0
@@ -32,12 +37,12 @@
 
 
 class OfferRow(msgspec.Struct, array_like=True):
-    """How many requests of a workspace wait at an entry, with a hint.
+    """Queue length of one workspace at an entry.
 
     Attributes:
-        workspace: Whose requests wait.
-        waiting: How many; 0 withdraws.
-        prefix: The prefix digest of the request at the head.
+        workspace: The workspace that the queued requests belong to.
+        waiting: Number of queued requests; 0 withdraws the offer.
+        prefix: Prefix digest of the request at the head of the queue.
     """
 
     workspace: WorkspaceId
@@ -46,7 +51,7 @@
 
 
 class Offer(msgspec.Struct):
-    """One entry's waiting requests of one workspace."""
+    """Queued requests of one workspace at one entry."""
 
     entry: Incarnation
     zone: Zone
@@ -55,14 +60,14 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The workspace to serve, and the entry that holds its request."""
+    """The workspace to serve and the entry that holds its request."""
 
     workspace: WorkspaceId
     entry: Incarnation
 
 
 class EntryView(msgspec.Struct):
-    """What we last heard of one entry."""
+    """State of one entry as of its newest message."""
 
     zone: Zone
     sequence: int
@@ -71,11 +76,13 @@
 
 
 class FairScheduler:
-    """Serves the backlogged workspace with the least service per share.
+    """Serves the backlogged workspace with the least virtual time.
 
-    Levels come from `Totals`; they only grow but for a reservation that
-    ends, so the heap holds lower bounds that are brought up to date as they
-    surface: a choice costs O(log n) whatever was charged in between.
+    A workspace's virtual time is its service divided by its share, plus its
+    lift and its reservations. It decreases only when a reservation is
+    released, which updates the heap. The keys in the heap are therefore
+    lower bounds and are refreshed when they reach the top, so that charging
+    needs no heap update and a choice takes amortized O(log n) time.
     """
 
     def __init__(
@@ -98,12 +105,12 @@
         self.heap_keys: dict[WorkspaceId, float] = {}
         self.system_virtual_time = 0.0
 
-    # What entries tell.
+    # Offers of entries.
 
     def record_message(
         self, entry: Incarnation, zone: Zone, sequence: int, now: float
     ) -> bool:
-        """Notes a message of an entry; returns whether it is the newest."""
+        """Records an entry's message; returns whether it is the newest."""
         view = self.entries.get(entry)
         if view is None:
             self.entries[entry] = EntryView(zone, sequence, now, set())
@@ -117,7 +124,7 @@
     def update_offers(
         self, entry: Incarnation, rows: Iterable[OfferRow]
     ) -> None:
-        """Takes in an entry's counts; each replaces what stood before."""
+        """Replaces the offers of the workspaces named in `rows`."""
         view = self.entries[entry]
         for row in rows:
             if row.waiting <= 0:
@@ -132,7 +139,7 @@
     def replace_offers(
         self, entry: Incarnation, rows: Iterable[OfferRow]
     ) -> None:
-        """Takes in an entry's whole backlog; what it lacks is withdrawn."""
+        """Replaces all offers of an entry; missing workspaces are withdrawn."""
         rows = list(rows)
         named = {row.workspace for row in rows if row.waiting > 0}
         for workspace in self.entries[entry].workspaces - named:
@@ -140,17 +147,21 @@
         self.update_offers(entry, rows)
 
     def expire(self, older_than: float) -> list[Incarnation]:
-        """Forgets entries not heard from since; returns them."""
-        gone = [
+        """Removes entries that have sent no message since `older_than`.
+
+        Returns:
+            The removed entries.
+        """
+        expired = [
             entry
             for entry, view in self.entries.items()
             if view.last_received_at < older_than
         ]
-        for entry in gone:
+        for entry in expired:
             for workspace in list(self.entries[entry].workspaces):
                 self._withdraw(entry, workspace)
             del self.entries[entry]
-        return gone
+        return expired
 
     def _withdraw(self, entry: Incarnation, workspace: WorkspaceId) -> None:
         offers = self.offers.get(workspace, {})
@@ -161,20 +172,20 @@
         if view is not None:
             view.workspaces.discard(workspace)
 
-    # The choice.
+    # Choosing a workspace.
 
     def virtual_time(self, workspace: WorkspaceId) -> float:
-        """Returns service per share, with what its runs still reserve."""
+        """Returns the virtual time of a workspace, with its reservations."""
         share = self.share_of(workspace)
-        level = self.totals.virtual_time(workspace, share)
-        return level + self.reserved.get(workspace, 0.0) / share
+        virtual_time = self.totals.virtual_time(workspace, share)
+        return virtual_time + self.reserved.get(workspace, 0.0) / share
 
     def has_waiting(self) -> bool:
-        """Returns whether any entry offers a request."""
+        """Returns whether any entry has a queued request."""
         return bool(self.offers)
 
     def waiting_count(self) -> int:
-        """Returns how many requests the entries offer."""
+        """Returns the number of queued requests at all entries."""
         return sum(
             offer.waiting
             for offers in self.offers.values()
@@ -182,7 +193,12 @@
         )
 
     def choose(self, is_warm: Callable[[str], bool]) -> Choice | None:
-        """Chooses the workspace and the entry for one free slot."""
+        """Chooses the workspace and the entry for one free slot.
+
+        Args:
+            is_warm: Whether the engine's cache is likely to hold the prefix
+                with a given digest.
+        """
         candidates = self._candidates()
         if not candidates:
             return None
@@ -199,7 +215,7 @@
         return Choice(best[1], offer.entry)
 
     def _candidates(self) -> list[tuple[float, WorkspaceId]]:
-        """Pops the least level and those that slack lets go before it."""
+        """Pops the least virtual time and those within the slack of it."""
         slack = self.policy.prefix_slack + self.policy.zone_slack
         found: list[tuple[float, WorkspaceId]] = []
         while self.heap and len(found) < _MAX_CANDIDATES:
@@ -213,22 +229,22 @@
             del self.heap_keys[workspace]
             if workspace not in self.offers:
                 continue
-            level = self.virtual_time(workspace)
-            if level > key:
+            virtual_time = self.virtual_time(workspace)
+            if virtual_time > key:
                 self._push(workspace)
                 continue
-            found.append((level, workspace))
+            found.append((virtual_time, workspace))
             if slack == 0:
                 break
         return found
 
     def _push(self, workspace: WorkspaceId) -> None:
-        level = self.virtual_time(workspace)
+        virtual_time = self.virtual_time(workspace)
         known = self.heap_keys.get(workspace)
-        if known is not None and known <= level:
+        if known is not None and known <= virtual_time:
             return
-        self.heap_keys[workspace] = level
-        heapq.heappush(self.heap, (level, workspace))
+        self.heap_keys[workspace] = virtual_time
+        heapq.heappush(self.heap, (virtual_time, workspace))
 
     def _offer_bonus(self, offer: Offer, is_warm: Callable) -> float:
         bonus = 0.0
@@ -250,10 +266,9 @@
         )
 
     def may_bypass_queue(self, workspace: WorkspaceId) -> bool:
-        """Returns whether a direct run of the workspace passes nobody.
+        """Returns whether the workspace may take a free slot directly.
 
-        A direct run that passed a waiting workspace with a lower level
-        would take the slot that it is owed.
+        It may not if a workspace with a smaller virtual time is queued.
         """
         candidates = self._candidates()
         for _, other in candidates:
@@ -263,10 +278,10 @@
         self._lift_if_idle(workspace)
         return self.virtual_time(workspace) <= candidates[0][0]
 
-    # What becomes of a choice.
+    # Outcome of a choice.
 
     def record_grant(self, choice: Choice) -> None:
-        """Counts a granted request out of its entry's offer."""
+        """Subtracts a granted request from its entry's offer."""
         offer = self.offers.get(choice.workspace, {}).get(choice.entry)
         if offer is None:
             return
@@ -275,11 +290,11 @@
             self._withdraw(choice.entry, choice.workspace)
 
     def withdraw_unused(self, choice: Choice) -> None:
-        """Drops an offer whose grant came back: nothing waits there."""
+        """Withdraws an offer whose grant the entry did not use."""
         self._withdraw(choice.entry, choice.workspace)
 
     def record_start(self, workspace: WorkspaceId) -> float:
-        """Notes a run; returns what it reserves until it is charged."""
+        """Records the start of a run; returns its reservation."""
         self._lift_if_idle(workspace)
         self.running[workspace] = self.running.get(workspace, 0) + 1
         cost = self.average_cost.get(workspace, 0.0) * self.policy.reserve
@@ -287,71 +302,75 @@
         return cost
 
     def charge(self, workspace: WorkspaceId, amount: float) -> None:
-        """Charges service as it happens."""
+        """Charges service that a workspace has received."""
         self.totals.add(workspace, amount)
 
     def release(self, workspace: WorkspaceId, reserved: float) -> None:
-        """Takes back what was reserved and is charged by now."""
+        """Releases a reservation, or the part that has been charged."""
         self._reserve(workspace, -reserved)
 
     def record_finish(self, workspace: WorkspaceId, cost: float) -> None:
-        """Notes the end of a run that cost so much in all."""
-        left = self.running.get(workspace, 0) - 1
-        self.running[workspace] = left
-        if left <= 0:
+        """Records the end of a run and its total cost."""
+        remaining = self.running.get(workspace, 0) - 1
+        self.running[workspace] = remaining
+        if remaining <= 0:
             self.running.pop(workspace, None)
         old = self.average_cost.get(workspace, cost)
-        self.average_cost[workspace] = old + _COST_MEMORY * (cost - old)
+        self.average_cost[workspace] = old + _NEWEST_COST_WEIGHT * (cost - old)
 
     def _reserve(self, workspace: WorkspaceId, amount: float) -> None:
-        left = self.reserved.get(workspace, 0.0) + amount
-        self.reserved[workspace] = left
-        if left <= 0:
+        remaining = self.reserved.get(workspace, 0.0) + amount
+        self.reserved[workspace] = remaining
+        if remaining <= 0:
             self.reserved.pop(workspace, None)
         if amount < 0 and workspace in self.offers:
             self._push(workspace)
 
-    # Credit.
+    # Limits on credit.
 
     def is_active(self, workspace: WorkspaceId) -> bool:
-        """Returns whether the workspace waits or runs here."""
+        """Returns whether the workspace has queued or running requests."""
         return workspace in self.offers or workspace in self.running
 
     def _lift_if_idle(self, workspace: WorkspaceId) -> None:
-        """Lifts a workspace that was idle to the least active one's level.
+        """Lifts an idle workspace to the system virtual time.
 
-        Without this an idle workspace hoards credit, and its burst shuts
-        everybody else out until it has caught up. The lift is a shared row
-        that only grows, so agents that lift the same workspace twice agree
-        on the larger lift instead of adding them.
+        Otherwise a workspace would accumulate credit while it is idle, and
+        its next burst would block all others until it has caught up. Lifts
+        only grow and are merged by maximum, so two agents that lift the
+        same workspace do not add their lifts up.
         """
         if self.is_active(workspace):
             return
-        behind = self.system_virtual_time - self.virtual_time(workspace)
-        if behind > 0:
+        lag = self.system_virtual_time - self.virtual_time(workspace)
+        if lag > 0:
             lift = self.totals.lifts.get(workspace, 0.0)
-            self.totals.lift(workspace, lift + behind)
+            self.totals.lift(workspace, lift + lag)
 
     def write_off_credit(self) -> None:
-        """Lifts backlogged workspaces that are too far behind.
+        """Lifts backlogged workspaces that lag by more than the limit.
 
-        After a long cut the sides' totals add up, and who was served on
-        both sides would wait for as long as the cut lasted. The limit is
-        above the fairness bound, so it acts only after a cut.
+        When a network partition heals, the totals of both sides are added
+        up. Without the limit, workspaces that were served on both sides
+        would wait until the others have caught up. The limit must exceed
+        the fairness bound, so that it has no effect without a partition.
         """
-        levels = {name: self.virtual_time(name) for name in self.offers}
-        if not levels:
+        virtual_times = {name: self.virtual_time(name) for name in self.offers}
+        if not virtual_times:
             return
-        least = max(levels.values()) - self.policy.credit_limit
-        for workspace, level in levels.items():
-            if level < least:
+        minimum = max(virtual_times.values()) - self.policy.credit_limit
+        for workspace, virtual_time in virtual_times.items():
+            if virtual_time < minimum:
                 lift = self.totals.lifts.get(workspace, 0.0)
-                self.totals.lift(workspace, lift + least - level)
+                self.totals.lift(workspace, lift + minimum - virtual_time)
 
     def virtual_time_gap(self) -> float:
-        """Returns the widest difference of levels among the backlogged."""
-        levels = [
+        """Returns the spread of virtual time, without reservations.
+
+        Only backlogged workspaces count.
+        """
+        virtual_times = [
             self.totals.virtual_time(name, self.share_of(name))
             for name in self.offers
         ]
-        return max(levels) - min(levels) if levels else 0.0
+        return max(virtual_times) - min(virtual_times) if virtual_times else 0.0
