--- a/packages/coordination/src/marjoramyard/coordination/fairness/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Fair choice among workspaces, fleet-wide, from shared totals."""
+"""Fleet-wide fair queueing of workspaces, based on replicated totals."""
--- a/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
@@ -1,4 +1,4 @@
-"""Service totals that grow only, merged from every agent's counts."""
+"""Replicated service totals: grow-only counters, one set per process."""
 
 import msgspec
 
@@ -6,19 +6,20 @@
 
 DEFAULT_ROW_LIMIT = 400
 RESTART_VERSION_GAP = 1_000_000
-"""More changes than an agent makes between two exchanges."""
-_DECIMALS = 1
-"""A tenth of a token on the wire; the rest would only cost bytes."""
+"""Must exceed the number of changes between two exchanges with a peer."""
+_WIRE_DECIMALS = 1
+"""Decimal places of service units in messages."""
 
 
 class OriginDelta(msgspec.Struct, array_like=True):
-    """What a peer lacks of one origin's rows.
+    """Changes to one origin's rows between two versions.
 
     Attributes:
-        since: The origin's version that the rows start after.
-        upto: The version that they lead to.
-        served: Service by workspace so far.
-        lifts: Lifts by workspace, in units per share.
+        since: Version of the origin before the changes.
+        upto: Version of the origin after the changes.
+        served: Cumulative service of the changed workspaces, in service
+            units.
+        lifts: Lifts of the changed workspaces, in service units per share.
     """
 
     since: int
@@ -28,12 +29,12 @@
 
 
 class TotalsDelta(msgspec.Struct, omit_defaults=True):
-    """Rows that the peer lacks, and which rows we hold ourselves.
+    """Message with the rows that a peer lacks.
 
     Attributes:
-        sender: The incarnation of the sending table.
-        held: The version that we hold of each origin.
-        origins: The changed rows by origin.
+        sender: Incarnation of the sending process.
+        held: Version of each origin that the sender holds.
+        origins: Changed rows by origin.
     """
 
     sender: Incarnation
@@ -42,7 +43,7 @@
 
 
 class OriginRows:
-    """All that is known of one origin's counts, newest change last."""
+    """Rows of one origin, ordered by their last change."""
 
     def __init__(self):
         self.version = 0
@@ -52,21 +53,29 @@
         self.changed_at: dict[WorkspaceId, int] = {}
 
     def mark_changed(self, workspace: WorkspaceId, version: int) -> None:
-        """Notes when a workspace's rows last changed.
+        """Records the version at which a workspace's rows last changed.
 
-        Re-inserting keeps the order of the last change, and versions never
-        go back in that order, so that a walk from the end may stop early.
+        The entry is re-inserted and versions never decrease, so that
+        `changed_at` stays sorted by version.
         """
         self.last_change_version = max(self.last_change_version, version)
         self.changed_at.pop(workspace, None)
         self.changed_at[workspace] = self.last_change_version
 
     def changes_since(self, since: int, limit: int) -> OriginDelta | None:
-        """Returns rows changed since a version, oldest first.
+        """Returns the rows changed since a version, oldest first.
 
-        Rows that came in one message share a version and travel together,
-        past the limit if need be: naming their version without some of
-        them would tell the peer that it has these.
+        Rows that arrived in one message share a version and are always sent
+        together, even beyond the limit. Otherwise the peer would record
+        their version and never receive the rest.
+
+        Args:
+            since: Version that the receiver holds.
+            limit: Maximum number of workspaces, but for rows that share a
+                version.
+
+        Returns:
+            The changes, or None if there are none.
         """
         found = []
         for workspace in reversed(self.changed_at):
@@ -77,34 +86,35 @@
         upto = self.version
         if len(found) > limit:
             last = self.changed_at[found[limit - 1]]
-            kept = [w for w in found if self.changed_at[w] <= last]
-            if len(kept) < len(found):
-                found, upto = kept, last
+            selected = [w for w in found if self.changed_at[w] <= last]
+            if len(selected) < len(found):
+                found, upto = selected, last
         if upto <= since:
             return None
-        served = {w: round(self.served.get(w, 0.0), _DECIMALS) for w in found}
+        served = {
+            w: round(self.served.get(w, 0.0), _WIRE_DECIMALS) for w in found
+        }
         lifts = {w: self.lifts[w] for w in found if w in self.lifts}
         return OriginDelta(since, upto, served, lifts)
 
 
 class Totals:
-    """Every agent's counts of every workspace of one service.
+    """Service received by each workspace of one service, by origin.
 
-    Each process writes only the rows under its own name, and a row only
-    grows, so rows may be lost, repeated or reordered: the maximum of what
-    arrived is right.
+    Each process writes only the rows under its own name, and rows only
+    grow. They are merged by maximum, so that messages may be lost, repeated
+    or reordered.
 
-    A restarted agent has forgotten its rows, but its peers have not. It
-    publishes nothing before it has learned them, then goes on from there.
-    (A new name with each life would do too, but the names would pile up:
-    a fleet whose agents restart daily would send more of them each day.)
+    Origins are named after the host rather than the incarnation, so that
+    restarts do not add origins. A restarted process first recovers its
+    previous rows from a peer, and publishes no service until then.
 
     Attributes:
-        me: The host's name, the same after a restart.
-        life: The process's incarnation.
-        step: A row of ours travels once it has grown by so much. With many
-            agents each small growth would be a message to everybody; the
-            fairness bound grows by a step for each agent.
+        name: Name of this process's origin, which survives restarts.
+        incarnation: Incarnation of the process.
+        step: Growth, in service units, after which a row is published.
+            Larger steps save messages; each agent adds one step to the
+            fairness bound.
     """
 
     def __init__(
@@ -129,58 +139,61 @@
         return rows
 
     def add(self, workspace: WorkspaceId, amount: float) -> None:
-        """Charges service to a workspace under our own incarnation."""
+        """Charges service, in service units, to a workspace."""
         self.sums[workspace] = self.sums.get(workspace, 0.0) + amount
-        grown = self.unpublished.get(workspace, 0.0) + amount
-        self.unpublished[workspace] = grown
-        if self.is_recovered and grown >= self.step:
+        growth = self.unpublished.get(workspace, 0.0) + amount
+        self.unpublished[workspace] = growth
+        if self.is_recovered and growth >= self.step:
             self._publish(workspace)
 
     def _publish(self, workspace: WorkspaceId) -> None:
-        grown = self.unpublished.pop(workspace)
-        mine = self._origin(self.name)
-        mine.version += 1
-        mine.mark_changed(workspace, mine.version)
-        mine.served[workspace] = mine.served.get(workspace, 0.0) + grown
+        growth = self.unpublished.pop(workspace)
+        own = self._origin(self.name)
+        own.version += 1
+        own.mark_changed(workspace, own.version)
+        own.served[workspace] = own.served.get(workspace, 0.0) + growth
 
     def update_recovery(self, held: dict[Incarnation, int]) -> None:
-        """Notes that a peer answered, and what it holds of our last life.
+        """Ends the recovery once a peer has sent all own rows that it holds.
 
-        It sends those rows, perhaps in parts. Once all are here, our
-        versions go on far behind them: other peers may hold later ones of
-        our last life, and would take our new rows for rows that they have.
+        Other peers may hold later versions from before the restart, and
+        would ignore new rows with the same versions. New versions therefore
+        start at a distance from the recovered one.
+
+        Args:
+            held: Versions by origin that the peer holds.
         """
         last = held.get(self.name, 0)
-        mine = self.origins.get(self.name)
-        if self.is_recovered or (mine.version if mine else 0) < last:
+        own = self.origins.get(self.name)
+        if self.is_recovered or (own.version if own else 0) < last:
             return
         self.is_recovered = True
-        if mine is not None and last:
-            mine.version += RESTART_VERSION_GAP
-        for workspace, grown in list(self.unpublished.items()):
-            if grown >= self.step:
+        if own is not None and last:
+            own.version += RESTART_VERSION_GAP
+        for workspace, growth in list(self.unpublished.items()):
+            if growth >= self.step:
                 self._publish(workspace)
 
     def lift(self, workspace: WorkspaceId, value: float) -> None:
         """Raises the workspace's lift to at least `value`."""
         if value <= self.lifts.get(workspace, 0.0):
             return
-        mine = self._origin(self.name)
-        mine.version += 1
-        mine.mark_changed(workspace, mine.version)
-        mine.lifts[workspace] = value
+        own = self._origin(self.name)
+        own.version += 1
+        own.mark_changed(workspace, own.version)
+        own.lifts[workspace] = value
         self.lifts[workspace] = value
 
     def virtual_time(self, workspace: WorkspaceId, share: float) -> float:
-        """Returns service per share, with the lift."""
+        """Returns the virtual time: service per share plus the lift."""
         served = self.sums.get(workspace, 0.0) / share
         return served + self.lifts.get(workspace, 0.0)
 
     def merge(self, name: Incarnation, delta: OriginDelta) -> None:
-        """Takes in another origin's rows.
+        """Merges an origin's rows.
 
-        After a gap (rows in between were lost) the rows are good, but the
-        version stays, so that what is missing is still asked for.
+        If rows before `delta.since` are missing, the rows are merged but
+        the version is kept, so that peers send the missing ones again.
         """
         if name == self.name:
             self._merge_own_rows(delta)
@@ -192,16 +205,16 @@
             rows.version = max(rows.version, delta.upto)
 
     def _merge_own_rows(self, delta: OriginDelta) -> None:
-        """Takes back what we counted before we were restarted."""
-        mine = self._origin(self.name)
-        changed = self._merge_rows(mine, delta)
+        """Merges rows that this process published before a restart."""
+        own = self._origin(self.name)
+        changed = self._merge_rows(own, delta)
         if self.is_recovered:
-            # A peer knew more of it than the one that we learned it from.
-            mine.version += 1
-        elif delta.since <= mine.version:
-            mine.version = max(mine.version, delta.upto)
+            # This peer held later rows than the one recovered from.
+            own.version += 1
+        elif delta.since <= own.version:
+            own.version = max(own.version, delta.upto)
         for workspace in changed:
-            mine.mark_changed(workspace, mine.version)
+            own.mark_changed(workspace, own.version)
 
     def _merge_rows(
         self, rows: OriginRows, delta: OriginDelta
@@ -232,7 +245,7 @@
             self.lifts[workspace] = max(self.lifts.get(workspace, 0.0), value)
 
     def held(self) -> dict[Incarnation, int]:
-        """Returns the version that we hold of each origin."""
+        """Returns the version held of each origin."""
         return {
             name: rows.version
             for name, rows in self.origins.items()
@@ -241,10 +254,11 @@
 
 
 class TotalsSync:
-    """What one peer holds, by its own last word.
+    """Exchange of totals with one peer.
 
-    The word is absolute, so a lost message costs nothing, and rows that the
-    peer had from somebody else are not sent to it again.
+    Each message states all versions that its sender holds. A lost message
+    is therefore made up for by the next, and rows that the peer has from
+    others are not sent to it.
     """
 
     def __init__(self, totals: Totals):
@@ -253,7 +267,11 @@
         self.peer_versions: dict[Incarnation, int] = {}
 
     def make_delta(self, limit: int = DEFAULT_ROW_LIMIT) -> TotalsDelta:
-        """Returns what the peer lacks; a repeat or a loss does no harm."""
+        """Returns a message with the rows that the peer lacks.
+
+        Args:
+            limit: Maximum number of rows, but for rows that share a version.
+        """
         found: dict[Incarnation, OriginDelta] = {}
         for name, rows in self.totals.origins.items():
             if limit <= 0:
@@ -268,11 +286,10 @@
         return TotalsDelta(self.totals.incarnation, self.totals.held(), found)
 
     def apply_delta(self, delta: TotalsDelta) -> None:
-        """Merges the peer's rows and learns what it holds.
+        """Merges the peer's rows and records the versions that it holds.
 
-        A restarted peer has a new incarnation and holds nothing: its word
-        replaces what we knew, or it would never get the old rows again and
-        compare workspaces as if nobody had been served.
+        A restarted peer has a new incarnation and has lost its rows: the
+        versions recorded before are dropped, so that it gets all rows again.
         """
         if delta.sender == self.peer:
             for name, version in delta.held.items():
