--- a/packages/coordination/src/marjoramyard/coordination/serving/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about single requests: frames, retries, slots, queues."""
+"""Serving of single requests: frames, retries, slots and queues."""
--- a/packages/coordination/src/marjoramyard/coordination/serving/events.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/events.py
@@ -1,39 +1,38 @@
-"""Server-sent events cut out of a byte stream, with the last event's id."""
+"""Splits a byte stream of server-sent events into complete events."""
 
 import re
 
-_END = b"\n\n"
-_ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
+_EVENT_END = b"\n\n"
+_EVENT_ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
 class EventSplitter:
-    """Passes whole events on and keeps a part of one back.
+    """Returns complete events only and buffers a partial one.
 
-    A stream can be resumed only behind a whole event. Had a part of one
-    been passed on, the resumed stream would repeat it in the middle of an
-    answer.
+    A stream can be resumed only after a complete event. If part of an event
+    had been forwarded, the resumed stream would repeat that part.
 
     Attributes:
-        last_id: The id of the last event that was passed on; "" for none.
+        last_id: Id of the last event returned, or "" if there is none.
     """
 
     def __init__(self):
-        self.rest = b""
+        self.partial = b""
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the events that the data completes."""
-        self.rest += data
-        end = self.rest.rfind(_END)
+        """Adds data and returns the events that are complete now."""
+        self.partial += data
+        end = self.partial.rfind(_EVENT_END)
         if end < 0:
             return b""
-        whole = self.rest[: end + len(_END)]
-        self.rest = self.rest[end + len(_END) :]
-        ids = _ID.findall(whole)
+        complete = self.partial[: end + len(_EVENT_END)]
+        self.partial = self.partial[end + len(_EVENT_END) :]
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self.last_id = ids[-1].decode(errors="replace")
-        return whole
+        return complete
 
     def discard_partial(self) -> None:
-        """Forgets a part whose event will come again."""
-        self.rest = b""
+        """Discards a partial event, which a resumed stream will repeat."""
+        self.partial = b""
--- a/packages/coordination/src/marjoramyard/coordination/serving/frames.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/frames.py
@@ -1,6 +1,6 @@
-"""Answers as numbered frames with an explicit end.
+"""Responses as numbered frames with an explicit end.
 
-A frame is a line of JSON; a data frame's line is followed by its bytes.
+A frame is a header, which is a line of JSON, and the data that it announces.
 """
 
 import zlib
@@ -15,16 +15,16 @@
 
 
 class FrameHeader(msgspec.Struct, omit_defaults=True):
-    """The line of one frame; which field is set tells its sort.
+    """Header of a frame; the fields set determine the type of the frame.
 
     Attributes:
-        n: The frame's number, from 0 without gaps; -1 for a keepalive.
-        status: The answer's HTTP status, in frame 0.
-        headers: The answer's headers, in frame 0.
-        size: How many bytes of the answer follow the line.
-        frames: In the end frame, how many frames came before it.
-        checksum: In the end frame, the CRC-32 of all bytes.
-        failure: Instead of an end: why the answer is cut.
+        n: Number of the frame, consecutive from 0; -1 for a keepalive.
+        status: HTTP status of the response, in frame 0.
+        headers: HTTP headers of the response, in frame 0.
+        size: Number of data bytes that follow the header.
+        frames: Number of preceding frames, in the end frame.
+        checksum: CRC-32 of the data of all frames, in the end frame.
+        failure: Why the response is incomplete, in place of the end frame.
     """
 
     n: int
@@ -37,28 +37,28 @@
 
     @property
     def is_keepalive(self) -> bool:
-        """Says only that the sender lives."""
+        """Whether the frame only keeps the connection alive."""
         return self.n < 0
 
     @property
     def is_end(self) -> bool:
-        """The answer is whole if count and checksum agree."""
+        """Whether the frame ends a complete response."""
         return self.frames >= 0
 
     @property
     def is_last(self) -> bool:
-        """No frame follows."""
+        """Whether no frame follows."""
         return self.is_end or self.failure is not None
 
 
 class Frame(msgspec.Struct):
-    """A frame with its bytes."""
+    """A frame: header and data."""
 
     head: FrameHeader
     data: bytes = b""
 
     def encode(self) -> bytes:
-        """Returns the frame as it travels."""
+        """Returns the wire format of the frame."""
         return msgspec.json.encode(self.head) + b"\n" + self.data
 
 
@@ -66,16 +66,19 @@
 
 
 class ReplayLostError(Exception):
-    """A resume asked for frames that are no longer kept."""
+    """Frames requested by a resume are no longer in the replay buffer."""
 
 
 class ReplayBuffer:
-    """The frames of one answer, the last of them kept for a resume.
+    """The frames of a response, of which the latest are kept for a resume.
 
     Attributes:
-        next_number: The number of the frame to come.
-        first_kept: The number of the oldest frame still kept.
-        sent: Frames below this number were handed to a link.
+        limit: Size in bytes above which sent frames are discarded.
+        next_number: Number of the next frame to be added.
+        first_kept: Number of the oldest frame in the buffer.
+        sent: Number of the first frame that has not been sent.
+        checksum: CRC-32 of the data of all frames.
+        finished: Whether the last frame has been added.
     """
 
     def __init__(self, limit: int = REPLAY_BUFFER_BYTES):
@@ -89,24 +92,24 @@
         self.finished = False
 
     def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Adds frame 0."""
+        """Adds frame 0, with HTTP status and headers."""
         self._append(Frame(FrameHeader(0, status=status, headers=headers)))
 
     def add_data(self, chunk: bytes) -> None:
-        """Adds a piece of the answer."""
+        """Adds a chunk of the response body."""
         self.checksum = zlib.crc32(chunk, self.checksum)
         head = FrameHeader(self.next_number, size=len(chunk))
         self._append(Frame(head, chunk))
 
     def end(self) -> None:
-        """Adds the explicit end of a whole answer."""
+        """Adds the end frame of a complete response."""
         number = self.next_number
         head = FrameHeader(number, frames=number, checksum=self.checksum)
         self.finished = True
         self._append(Frame(head))
 
     def fail(self, reason: Failure) -> None:
-        """Adds the end of an answer that was cut or never began."""
+        """Adds the last frame of a response that is incomplete or missing."""
         self.finished = True
         self._append(Frame(FrameHeader(self.next_number, failure=reason)))
 
@@ -114,15 +117,14 @@
         self.frames.append(frame)
         self.next_number += 1
         self.kept_bytes += len(frame.data)
-        # Only frames that a link has taken may go: an unsent one has no
-        # other copy, and the sender waits while too many are unsent.
+        # Unsent frames must be kept; `is_full` limits how many there are.
         while self.kept_bytes > self.limit and self.first_kept < self.sent:
             self.kept_bytes -= len(self.frames.popleft().data)
             self.first_kept += 1
 
     @property
     def is_full(self) -> bool:
-        """Whether the producer should wait for the link."""
+        """Whether the producer should wait until frames have been sent."""
         unsent = self.next_number - self.sent
         return unsent > 1 and self.kept_bytes > self.limit
 
@@ -130,54 +132,60 @@
         """Returns the frames from `number` on.
 
         Raises:
-            ReplayLostError: The first of them is no longer kept.
+            ReplayLostError: The frame `number` was discarded.
         """
         if number < self.first_kept:
-            raise ReplayLostError(f"frame {number} is no longer kept")
+            raise ReplayLostError(
+                f"frame {number} is no longer in the replay buffer"
+            )
         start = number - self.first_kept
         return [self.frames[i] for i in range(start, len(self.frames))]
 
     def mark_sent(self, number: int) -> None:
-        """Notes that frames below `number` were handed to a link."""
+        """Records that all frames below `number` have been sent."""
         self.sent = max(self.sent, number)
 
 
 class BrokenResponseError(Exception):
-    """The frames that came are not the ones that were sent."""
+    """The frames received are not a valid response."""
 
 
 class ResponseReader:
-    """Checks that frames come whole, in order, and each once.
+    """Checks that the frames of a response are complete and in order.
 
     Attributes:
-        next_number: The frame to ask for when a link is resumed.
-        whole: The end came, and count and checksum agree.
+        next_number: Number of the next frame expected, from which to resume.
+        checksum: CRC-32 of the data received.
+        complete: Whether a valid end frame has been received.
     """
 
     def __init__(self):
         self.next_number = 0
         self.checksum = 0
-        self.whole = False
+        self.complete = False
 
     def accept(self, frame: Frame) -> bool:
-        """Checks the next frame; returns False for one already had.
+        """Checks the next frame; returns False if it is a duplicate.
 
         Raises:
-            BrokenResponseError: A frame is missing or the sum is wrong.
+            BrokenResponseError: A frame is missing, or the end frame does
+                not match the frames received.
         """
         head = frame.head
         if head.n < self.next_number:
             return False
         if head.n > self.next_number:
             raise BrokenResponseError(
-                f"frame {self.next_number} is missing before {head.n}"
+                f"got frame {head.n} instead of {self.next_number}"
             )
         self.next_number += 1
         self.checksum = zlib.crc32(frame.data, self.checksum)
         if head.is_end:
             if head.frames != head.n or head.checksum != self.checksum:
-                raise BrokenResponseError("the answer's end does not match it")
-            self.whole = True
+                raise BrokenResponseError(
+                    "frame count or checksum of the response does not match"
+                )
+            self.complete = True
         return True
 
 
@@ -185,31 +193,37 @@
 
 
 class FrameParser:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self):
         self.buffer = bytearray()
         self.head: FrameHeader | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Returns the frames that the data completes."""
+        """Adds data and returns the frames that are complete now.
+
+        Raises:
+            BrokenResponseError: A header is too long or invalid.
+        """
         self.buffer += data
-        found = []
+        frames = []
         while (frame := self._next()) is not None:
-            found.append(frame)
-        return found
+            frames.append(frame)
+        return frames
 
     def _next(self) -> Frame | None:
         if self.head is None:
             end = self.buffer.find(b"\n")
             if end < 0:
                 if len(self.buffer) > MAX_HEADER_BYTES:
-                    raise BrokenResponseError("a frame's line does not end")
+                    raise BrokenResponseError("frame header is too long")
                 return None
             try:
                 self.head = _HEAD_DECODER.decode(bytes(self.buffer[:end]))
             except msgspec.DecodeError as error:
-                raise BrokenResponseError(f"not a frame: {error}") from error
+                raise BrokenResponseError(
+                    f"invalid frame header: {error}"
+                ) from error
             del self.buffer[: end + 1]
         if len(self.buffer) < self.head.size:
             return None
--- a/packages/coordination/src/marjoramyard/coordination/serving/prefixes.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/prefixes.py
@@ -1,4 +1,4 @@
-"""Which prompt prefixes an engine's cache is likely to hold."""
+"""Estimates which prompt prefixes an engine has in its cache."""
 
 import hashlib
 from collections import OrderedDict
@@ -8,27 +8,32 @@
 
 
 def prefix_digest(body: bytes) -> str:
-    """Returns the digest of a request's first bytes, or "" if too short."""
+    """Returns the digest of a request's prefix.
+
+    Returns:
+        The digest of the first `PREFIX_BYTES` bytes, or "" if the body is
+        shorter.
+    """
     if len(body) < PREFIX_BYTES:
         return ""
     return hashlib.sha256(body[:PREFIX_BYTES]).hexdigest()[:16]
 
 
 class PrefixHistory:
-    """What the agent itself ran, corrected by the engine's cache events.
+    """Prefixes that an endpoint has run and not evicted since.
 
-    Events are numbered. After a gap an unknown number of evictions was
-    missed, so everything is forgotten: a cold start costs time, a wrong
-    belief costs the strict order for nothing.
+    Eviction events are numbered. After a gap in the numbers it is unknown
+    which prefixes the engine still holds, so the history is cleared.
+    Otherwise requests would be served out of order without a cache hit.
     """
 
     def __init__(self, capacity: int = _DEFAULT_CAPACITY):
         self.capacity = capacity
         self.recent: OrderedDict[str, None] = OrderedDict()
-        self.last_event = -1
+        self.last_event_number = -1
 
     def record_run(self, prefix: str) -> None:
-        """Notes that a request with this prefix ran here."""
+        """Records that a request with this prefix has run."""
         if not prefix:
             return
         self.recent[prefix] = None
@@ -37,14 +42,19 @@
             self.recent.popitem(last=False)
 
     def on_evictions(self, number: int, prefixes: list[str]) -> None:
-        """Takes in a numbered event of the engine."""
-        if self.last_event >= 0 and number > self.last_event + 1:
+        """Applies an eviction event of the engine.
+
+        Args:
+            number: Number of the event.
+            prefixes: Digests of the evicted prefixes.
+        """
+        if self.last_event_number >= 0 and number > self.last_event_number + 1:
             self.recent.clear()
-        if number > self.last_event:
-            self.last_event = number
+        if number > self.last_event_number:
+            self.last_event_number = number
         for prefix in prefixes:
             self.recent.pop(prefix, None)
 
     def is_warm(self, prefix: str) -> bool:
-        """Returns whether the engine probably holds the prefix."""
+        """Returns whether the engine is likely to hold the prefix."""
         return prefix in self.recent
--- a/packages/coordination/src/marjoramyard/coordination/serving/request_queues.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/request_queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait at an entry, by service, workspace and class."""
+"""Queues of requests at an entry, by service, workspace and class."""
 
 from collections import deque
 from enum import Enum
@@ -9,26 +9,28 @@
 from marjoramyard.kernel.ids import WorkspaceId
 
 AGEING_SECONDS = 10.0
+"""Lead in queueing time by which deferrable requests go first."""
 
 
 class RequestClass(Enum):
-    """How a request is ordered inside its workspace."""
+    """Priority of a request within its workspace."""
 
     INTERACTIVE = "interactive"
     DEFERRABLE = "deferrable"
 
 
 class QueuedRequest(msgspec.Struct, eq=False):
-    """One waiting request.
+    """A queued request.
 
     Attributes:
-        workspace: Whose it is.
-        klass: Its class.
-        since: When it began to wait, on the caller's monotonic clock.
-        size: The bytes that it holds.
-        prefix: Its prefix digest.
-        payload: Whatever the owner needs to run it.
-        gone: It was given up or taken; its place in the queue is void.
+        workspace: Workspace of the request.
+        request_class: Class of the request.
+        queued_at: Time of queueing, in seconds on a monotonic clock.
+        size: Size of the request, in bytes.
+        prefix: Prefix digest of the request.
+        payload: Data that the owner of the queue needs to run the request.
+        removed: Whether the request was popped or cancelled. It stays in
+            its queue until it reaches the head.
     """
 
     workspace: WorkspaceId
@@ -41,91 +43,98 @@
 
 
 class WorkspaceQueue:
-    """One workspace's waiting requests: interactive first, with ageing."""
+    """Queued requests of a workspace: interactive first, with ageing."""
 
     def __init__(self):
         self.queues: dict[RequestClass, deque[QueuedRequest]] = {
-            klass: deque() for klass in RequestClass
+            request_class: deque() for request_class in RequestClass
         }
         self.count = 0
         self.bytes = 0
 
-    def add(self, item: QueuedRequest, first: bool = False) -> None:
-        """Queues a request; a retried one goes first in its class."""
-        lane = self.queues[item.request_class]
+    def add(self, request: QueuedRequest, first: bool = False) -> None:
+        """Queues a request, at the front of its class if `first`."""
+        queue = self.queues[request.request_class]
         if first:
-            lane.appendleft(item)
+            queue.appendleft(request)
         else:
-            lane.append(item)
+            queue.append(request)
         self.count += 1
-        self.bytes += item.size
+        self.bytes += request.size
 
-    def remove(self, item: QueuedRequest) -> bool:
-        """Voids a request; returns False if it was taken already."""
-        if item.removed:
+    def remove(self, request: QueuedRequest) -> bool:
+        """Removes a request; returns False if it was removed already."""
+        if request.removed:
             return False
-        item.removed = True
+        request.removed = True
         self.count -= 1
-        self.bytes -= item.size
+        self.bytes -= request.size
         return True
 
     def head(self, now: float) -> QueuedRequest | None:
         """Returns the request to run next.
 
-        A deferrable request that has waited for `AGEING_SECONDS` goes
-        before interactive ones that came after it, or a steady stream of
-        those would hold it back forever.
+        A deferrable request that was queued at least `AGEING_SECONDS` ago
+        precedes interactive ones that were queued as much later. This
+        prevents starvation by a steady stream of interactive requests.
         """
-        quick = self._first(RequestClass.INTERACTIVE)
-        slow = self._first(RequestClass.DEFERRABLE)
-        if quick is None or slow is None:
-            return quick or slow
-        if slow.queued_at + AGEING_SECONDS <= min(now, quick.queued_at):
-            return slow
-        return quick
-
-    def _first(self, klass: RequestClass) -> QueuedRequest | None:
-        lane = self.queues[klass]
-        while lane and lane[0].removed:
-            lane.popleft()
-        return lane[0] if lane else None
+        interactive = self._first(RequestClass.INTERACTIVE)
+        deferrable = self._first(RequestClass.DEFERRABLE)
+        if interactive is None or deferrable is None:
+            return interactive or deferrable
+        if deferrable.queued_at + AGEING_SECONDS <= min(
+            now, interactive.queued_at
+        ):
+            return deferrable
+        return interactive
+
+    def _first(self, request_class: RequestClass) -> QueuedRequest | None:
+        queue = self.queues[request_class]
+        while queue and queue[0].removed:
+            queue.popleft()
+        return queue[0] if queue else None
 
 
 class ServiceQueue:
-    """All waiting requests of one service at one entry."""
+    """All queued requests of one service at one entry.
+
+    Attributes:
+        workspaces: The queues that are not empty.
+        changed: Workspaces whose queue became empty or non-empty.
+    """
 
     def __init__(self):
         self.workspaces: dict[WorkspaceId, WorkspaceQueue] = {}
         self.changed: set[WorkspaceId] = set()
 
-    def add(self, item: QueuedRequest, first: bool = False) -> None:
-        """Queues a request."""
-        queue = self.workspaces.setdefault(item.workspace, WorkspaceQueue())
+    def add(self, request: QueuedRequest, first: bool = False) -> None:
+        """Queues a request, at the front of its class if `first`."""
+        queue = self.workspaces.setdefault(request.workspace, WorkspaceQueue())
         if queue.count == 0:
-            self.changed.add(item.workspace)
-        queue.add(item, first)
-
-    def remove(self, item: QueuedRequest) -> bool:
-        """Voids a request that was given up."""
-        queue = self.workspaces.get(item.workspace)
-        removed = queue is not None and queue.remove(item)
-        self._forget_if_empty(item.workspace)
+            self.changed.add(request.workspace)
+        queue.add(request, first)
+
+    def remove(self, request: QueuedRequest) -> bool:
+        """Removes a request; returns False if it was removed already."""
+        queue = self.workspaces.get(request.workspace)
+        removed = queue is not None and queue.remove(request)
+        self._drop_if_empty(request.workspace)
         return removed
 
     def pop(self, workspace: WorkspaceId, now: float) -> QueuedRequest | None:
-        """Takes the workspace's next request, if it has one."""
+        """Removes and returns a workspace's next request, or None."""
         queue = self.workspaces.get(workspace)
-        item = queue.head(now) if queue is not None else None
-        if item is not None:
-            self.remove(item)
-        return item
+        request = queue.head(now) if queue is not None else None
+        if request is not None:
+            self.remove(request)
+        return request
 
-    def _forget_if_empty(self, workspace: WorkspaceId) -> None:
+    def _drop_if_empty(self, workspace: WorkspaceId) -> None:
         queue = self.workspaces.get(workspace)
         if queue is not None and queue.count == 0:
             del self.workspaces[workspace]
             self.changed.add(workspace)
 
     def count(self) -> int:
-        """Returns how many requests wait."""
+        """Returns the number of queued requests."""
         return sum(queue.count for queue in self.workspaces.values())
--- a/packages/coordination/src/marjoramyard/coordination/serving/retries.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/retries.py
@@ -1,11 +1,13 @@
-"""A budget that keeps retries from multiplying a failure."""
+"""A retry budget, which keeps retries from amplifying an overload."""
 
 
 class RetryBudget:
-    """Lets retries be at most a fraction of requests, with a small burst.
+    """Token bucket that limits retries to a fraction of the requests.
 
-    Without it one crash, retried by everyone, becomes the load that causes
-    the next; the budget bounds the extra load to `ratio`.
+    Attributes:
+        ratio: Tokens added per request; one retry costs one token.
+        burst: Capacity of the bucket, in tokens.
+        tokens: Tokens available.
     """
 
     def __init__(self, ratio: float, burst: float):
@@ -14,11 +16,11 @@
         self.tokens = burst
 
     def on_request(self) -> None:
-        """Earns a part of a retry."""
+        """Adds the tokens for one request."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def spend(self) -> bool:
-        """Takes a retry if there is one."""
+        """Takes the token for one retry; returns False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/packages/coordination/src/marjoramyard/coordination/serving/slots.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/slots.py
@@ -1,19 +1,27 @@
-"""How many requests an agent runs at once on its endpoint."""
+"""Limits how many requests an agent runs concurrently on its endpoint."""
 
 TARGET_TOKEN_GAP_SECONDS = 0.066
-"""The users' aim: 66 ms between tokens for 95 in 100."""
-_WINDOW = 200
+"""Objective for the 95th percentile of the time between tokens."""
+_WINDOW_GAPS = 200
+"""Number of gaps after which the limit is adjusted."""
 _PERCENTILE = 0.95
-_SHRINK = 0.8
-_HEADROOM = 0.8
+_DECREASE_FACTOR = 0.8
+_INCREASE_THRESHOLD = 0.8
+"""Fraction of the target below which the limit is increased."""
 
 
 class SlotLimit:
-    """Adapts the limit to the measured time between tokens.
+    """Adapts the concurrency limit to the time between tokens.
 
-    An engine admits whatever arrives and then slows everyone, so the limit
-    shrinks by a factor when 95 in 100 gaps miss the aim, and grows by one
-    when they keep it with room to spare. It is never below one.
+    The limit is decreased multiplicatively when the 95th percentile exceeds
+    the target, and increased by 1 when it is below the target by a margin.
+    It is never below 1.
+
+    Attributes:
+        ceiling: Maximum that the endpoint has announced.
+        limit: Current limit.
+        target: Target for the 95th percentile, in seconds.
+        gaps: Times between tokens since the last adjustment, in seconds.
     """
 
     def __init__(
@@ -25,23 +33,23 @@
         self.gaps: list[float] = []
 
     def set_announced(self, slots: int) -> None:
-        """Takes the endpoint's own word for the most it can run."""
+        """Sets the maximum that the endpoint has announced."""
         slots = max(1, slots)
         if slots != self.ceiling:
             self.ceiling = slots
             self.limit = min(self.limit, slots) if self.gaps else slots
 
     def record_gap(self, gap: float) -> None:
-        """Counts one time between tokens, in seconds."""
+        """Records one time between tokens, in seconds."""
         self.gaps.append(gap)
-        if len(self.gaps) >= _WINDOW:
+        if len(self.gaps) >= _WINDOW_GAPS:
             self._adapt()
 
     def _adapt(self) -> None:
         ordered = sorted(self.gaps)
         self.gaps.clear()
-        slow = ordered[int(len(ordered) * _PERCENTILE)]
-        if slow > self.target:
-            self.limit = max(1, int(self.limit * _SHRINK))
-        elif slow < self.target * _HEADROOM:
+        percentile = ordered[int(len(ordered) * _PERCENTILE)]
+        if percentile > self.target:
+            self.limit = max(1, int(self.limit * _DECREASE_FACTOR))
+        elif percentile < self.target * _INCREASE_THRESHOLD:
             self.limit = min(self.ceiling, self.limit + 1)
--- a/packages/coordination/tests/serving/test_serving_parts.py
+++ b/packages/coordination/tests/serving/test_serving_parts.py
@@ -44,7 +44,7 @@
     tail = answer_of(chunks)
     reader = ResponseReader()
     got = b""
-    while not reader.whole:
+    while not reader.complete:
         frames = tail.frames_from(reader.next_number)
         stream = b"".join(frame.encode() for frame in frames)
         stop = breaks.pop() if breaks else len(stream)
@@ -69,7 +69,7 @@
     with pytest.raises(BrokenResponseError):
         for frame in frames:
             reader.accept(frame)
-    assert not reader.whole
+    assert not reader.complete
 
 
 def test_unsent_frames_are_kept_and_the_producer_waits():
