--- a/packages/coordination/src/marjoramyard/coordination/membership/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints exist, by their own heartbeats."""
+"""Membership of endpoints, based on their heartbeats."""
--- a/packages/coordination/src/marjoramyard/coordination/membership/health.py
+++ b/packages/coordination/src/marjoramyard/coordination/membership/health.py
@@ -1,20 +1,23 @@
-"""Judges endpoints by what became of the requests sent to them."""
+"""Health of endpoints, based on the outcome of their requests."""
 
 import msgspec
 
 INITIAL_BACKOFF_SECONDS = 0.3
-"""After one failure; a restart takes seconds, a reset link much less."""
+"""Backoff after the first failure."""
 MAX_BACKOFF_SECONDS = 2.0
-"""The longest time until a returned endpoint is tried again."""
+"""Limits how long an endpoint that has recovered stays unused."""
 
 
 class EndpointHealth(msgspec.Struct):
-    """The recent outcomes at one endpoint.
+    """Recent request outcomes of one endpoint.
+
+    Times are in seconds on a monotonic clock.
 
     Attributes:
-        failures: Failures in a row.
-        paused_until: No request is sent before, unless all are paused.
-        succeeded_at: When the last answer came.
+        failures: Number of consecutive failures.
+        backoff_until: End of the backoff. Until then requests are sent to
+            other endpoints, unless all of them are backing off.
+        last_success_at: Time of the last response.
     """
 
     failures: int = 0
@@ -22,17 +25,20 @@
     last_success_at: float = float("-inf")
 
     def record_success(self, now: float) -> None:
-        """An answer came."""
+        """Records a response, which ends the backoff."""
         self.failures = 0
         self.backoff_until = 0.0
         self.last_success_at = now
 
     def record_failure(self, now: float) -> None:
-        """A connection failed, broke, or brought no answer."""
+        """Records a connection error or a missing response.
+
+        The backoff doubles with each consecutive failure.
+        """
         self.failures += 1
-        pause = INITIAL_BACKOFF_SECONDS * 2 ** min(self.failures - 1, 10)
-        self.backoff_until = now + min(pause, MAX_BACKOFF_SECONDS)
+        backoff = INITIAL_BACKOFF_SECONDS * 2 ** min(self.failures - 1, 10)
+        self.backoff_until = now + min(backoff, MAX_BACKOFF_SECONDS)
 
     def is_backing_off(self, now: float) -> bool:
-        """Whether requests should go elsewhere."""
+        """Returns whether requests should be sent to other endpoints."""
         return now < self.backoff_until
--- a/packages/coordination/src/marjoramyard/coordination/membership/registrations.py
+++ b/packages/coordination/src/marjoramyard/coordination/membership/registrations.py
@@ -1,8 +1,8 @@
-"""A table of endpoints that register themselves by heartbeat.
+"""A replicated table of endpoints that register by heartbeat.
 
-Heartbeats arrive late, out of order, at several nodes and from endpoints
-that have ended since. Every node merges what it hears by the same rules, so
-all tables come to agree whichever way the news took.
+Heartbeats may be delayed, reordered, sent to several nodes or received after
+their endpoint has stopped. All nodes merge them by the same rules, so their
+tables converge in whatever order heartbeats arrive.
 """
 
 from collections.abc import Iterable
@@ -11,13 +11,12 @@
 import msgspec
 
 DEPARTED_RETENTION_SECONDS = 120.0
-"""How long an ended lifetime is remembered. A heartbeat held up by a
-partition arrives when that heals; the users' partitions last for minutes at
-the most, and one record takes some 200 bytes."""
+"""How long departed endpoints are remembered, so that heartbeats delayed by
+a network partition do not register them again."""
 
 
 class EndpointState(Enum):
-    """What an endpoint says of itself, or did last."""
+    """State of an endpoint, as last reported."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -25,17 +24,18 @@
 
 
 class Registration(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest word of one endpoint.
+    """Registration of an endpoint, as reported by its heartbeat.
 
     Attributes:
-        endpoint: Its id.
-        service: The service that it runs.
-        address: Where it takes requests, as IP:PORT.
-        availability_zone: Where it stands.
-        slots: Requests that it runs at once.
-        state: Whether it takes work.
-        sequence: Counts its heartbeats, from anew at each start.
-        born: The Unix millisecond of its start; 0 if it did not say.
+        endpoint: Id of the endpoint.
+        service: Name of the service that it runs.
+        address: Address for requests, as IP:PORT.
+        availability_zone: Availability zone that it runs in.
+        slots: Maximum number of concurrent requests.
+        state: Whether it accepts requests.
+        sequence: Number of the heartbeat; restarts with each lifetime.
+        born: Start of the lifetime, in milliseconds since the Unix epoch;
+            0 if unknown.
     """
 
     endpoint: str
@@ -49,11 +49,10 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Orders the words of one endpoint; the greatest one holds.
+        """Sort key of an endpoint's registrations; the greatest is in force.
 
-        Departed is final for a lifetime, and draining is not taken back:
-        a "ready" that was sent before either and arrives later changes
-        nothing, whatever its number.
+        A departure is final for a lifetime. Otherwise the sequence decides,
+        so that a delayed "ready" does not undo "draining".
         """
         rank = 0
         if self.state is EndpointState.DEPARTED:
@@ -62,77 +61,102 @@
 
 
 class Registrations:
-    """The endpoints that one node knows of."""
+    """The endpoints known to one node.
+
+    Times are in seconds on a monotonic clock.
+
+    Attributes:
+        by_endpoint: Registration in force of each endpoint id.
+        received_at: When that registration was received.
+        by_address: Endpoint id by address.
+    """
 
     def __init__(self):
         self.by_endpoint: dict[str, Registration] = {}
         self.received_at: dict[str, float] = {}
         self.by_address: dict[str, str] = {}
 
-    def merge(self, word: Registration, now: float) -> bool:
-        """Takes in a word; returns whether it changed what is known.
+    def merge(self, registration: Registration, now: float) -> bool:
+        """Merges a registration received from an endpoint or a node.
 
         Args:
-            word: What an endpoint, or another node, says.
-            now: Seconds on any steady clock.
+            registration: The registration received.
+            now: Current time.
+
+        Returns:
+            Whether it changes more than the heartbeat's sequence number.
         """
-        held = self.by_endpoint.get(word.endpoint)
-        if held is not None and word.precedence <= held.precedence:
+        known = self.by_endpoint.get(registration.endpoint)
+        if known is not None and registration.precedence <= known.precedence:
             return False
-        if not self._claims_address(word):
+        if not self._claim_address(registration):
             return False
-        self.received_at[word.endpoint] = now
-        self.by_endpoint[word.endpoint] = word
-        return held is None or _differs(held, word)
+        self.received_at[registration.endpoint] = now
+        self.by_endpoint[registration.endpoint] = registration
+        return known is None or _differs(known, registration)
 
-    def _claims_address(self, word: Registration) -> bool:
-        """Gives an address to the endpoint that started there last.
+    def _claim_address(self, registration: Registration) -> bool:
+        """Assigns an address to the endpoint that started there last.
 
-        An endpoint that ended without a word leaves its address to another.
-        A heartbeat of the first that was held up on its way would bring it
-        back, and requests would go to a stranger.
+        An address may be reused after an endpoint has crashed. Otherwise a
+        delayed heartbeat would register the crashed endpoint again, and its
+        requests would be sent to the new endpoint at this address.
+
+        Returns:
+            Whether the endpoint may use the address.
         """
-        holder = self.by_endpoint.get(self.by_address.get(word.address, ""))
-        if holder is not None and holder.endpoint != word.endpoint:
-            if holder.state is not EndpointState.DEPARTED:
-                if holder.born > word.born:
+        current = self.by_endpoint.get(
+            self.by_address.get(registration.address, "")
+        )
+        if current is not None and current.endpoint != registration.endpoint:
+            if current.state is not EndpointState.DEPARTED:
+                if current.born > registration.born:
                     return False
-                self.by_endpoint[holder.endpoint] = msgspec.structs.replace(
-                    holder, state=EndpointState.DEPARTED
+                self.by_endpoint[current.endpoint] = msgspec.structs.replace(
+                    current, state=EndpointState.DEPARTED
                 )
-        if word.state is not EndpointState.DEPARTED:
-            self.by_address[word.address] = word.endpoint
+        if registration.state is not EndpointState.DEPARTED:
+            self.by_address[registration.address] = registration.endpoint
         return True
 
     def mark_departed(self, endpoint: str, now: float) -> Registration | None:
-        """Ends the present lifetime of an endpoint, if it is known."""
-        held = self.by_endpoint.get(endpoint)
-        if held is None or held.state is EndpointState.DEPARTED:
+        """Marks an endpoint as departed.
+
+        Returns:
+            The new registration, or None if the endpoint is unknown or has
+            already departed.
+        """
+        known = self.by_endpoint.get(endpoint)
+        if known is None or known.state is EndpointState.DEPARTED:
             return None
-        gone = msgspec.structs.replace(held, state=EndpointState.DEPARTED)
-        self.merge(gone, now)
-        return gone
+        departed = msgspec.structs.replace(known, state=EndpointState.DEPARTED)
+        self.merge(departed, now)
+        return departed
 
     def seconds_since_received(self, endpoint: str, now: float) -> float:
-        """Returns for how many seconds nothing was heard of an endpoint."""
+        """Returns the age in seconds of an endpoint's registration.
+
+        It is 0 for an unknown endpoint.
+        """
         return now - self.received_at.get(endpoint, now)
 
     def usable(self, service: str) -> list[Registration]:
-        """Returns the endpoints of a service that take new work."""
+        """Returns the endpoints of a service that accept requests."""
         return [
-            word
-            for word in self.by_endpoint.values()
-            if word.service == service and word.state is EndpointState.READY
+            registration
+            for registration in self.by_endpoint.values()
+            if registration.service == service
+            and registration.state is EndpointState.READY
         ]
 
     def all(self) -> Iterable[Registration]:
-        """Returns all that is known."""
+        """Returns the registrations of all known endpoints."""
         return self.by_endpoint.values()
 
     def expire_departed(self, now: float) -> None:
-        """Drops lifetimes that ended long ago."""
-        for endpoint, word in list(self.by_endpoint.items()):
-            if word.state is not EndpointState.DEPARTED:
+        """Removes endpoints that departed before the retention period."""
+        for endpoint, registration in list(self.by_endpoint.items()):
+            if registration.state is not EndpointState.DEPARTED:
                 continue
             if (
                 self.seconds_since_received(endpoint, now)
@@ -140,11 +164,11 @@
             ):
                 del self.by_endpoint[endpoint]
                 del self.received_at[endpoint]
-                if self.by_address.get(word.address) == endpoint:
-                    del self.by_address[word.address]
+                if self.by_address.get(registration.address) == endpoint:
+                    del self.by_address[registration.address]
 
 
-def _differs(held: Registration, word: Registration) -> bool:
-    """Whether more than the number of the heartbeat is new."""
-    same = msgspec.structs.replace(held, sequence=word.sequence)
-    return same != word
+def _differs(known: Registration, registration: Registration) -> bool:
+    """Returns whether more than the sequence number differs."""
+    same = msgspec.structs.replace(known, sequence=registration.sequence)
+    return same != registration
--- a/packages/coordination/src/marjoramyard/coordination/routing/__init__.py
+++ b/packages/coordination/src/marjoramyard/coordination/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, their validation, and which one a request takes."""
+"""Route configuration, its validation, and route lookup."""
--- a/packages/coordination/src/marjoramyard/coordination/routing/config.py
+++ b/packages/coordination/src/marjoramyard/coordination/routing/config.py
@@ -1,7 +1,7 @@
-"""The configuration of a fleet whose endpoints are dispatched to directly.
+"""Configuration of a fleet whose gateways dispatch directly to endpoints.
 
-Unlike a signed bundle, which goes through review, this one is a complete
-document under a version of its author's choosing: the highest version rules.
+Unlike a signed bundle, it is a complete document and needs no review. Its
+author chooses the version, and the highest version is in force.
 """
 
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class RequestKind(Enum):
-    """What may be repeated."""
+    """Whether a request may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,31 +18,35 @@
 
 
 class Destination(msgspec.Struct, frozen=True):
-    """A service that gets a part of a route's requests."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: int = 1
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Where requests of one host and path go, and on which terms.
+    """Destination and limits of the requests to one hostname and path.
 
     Attributes:
-        hostname: The requests' `Host`.
-        path_prefix: Begins and ends with a slash; the longest match wins.
-        request_kind: What may be repeated.
-        timeout_ms: When a caller gets its final answer at the latest.
-        objective_ms: Within this a response is on time; a stream's first
-            event counts.
-        gap_objective_ms: The longest pause between events on time; 0 if
-            the route has no such aim.
-        priority: 0 comes first.
-        service: The one destination, if there is no split.
-        destinations: The split, by weight.
-        max_attempts: The most endpoints that one attempt may be sent to.
-        open_access: No key is needed.
-        keeps_prefix: Requests name the parts of their prompt.
-        resumable: A broken stream may go on at another endpoint.
+        name: Name of the route.
+        hostname: Value of the `Host` header.
+        path_prefix: Prefix that begins and ends with a slash. The longest
+            matching prefix wins.
+        request_kind: Whether requests may be repeated.
+        timeout_ms: Time limit for the complete response.
+        objective_ms: Latency objective for the response, or for the first
+            event of a stream.
+        gap_objective_ms: Objective for the time between events of a stream;
+            0 for none.
+        priority: Priority of the requests; 0 is the highest.
+        service: The destination, if `destinations` is empty.
+        destinations: The destinations of a traffic split.
+        max_attempts: Maximum number of times that a request is sent, not
+            counting failed connections.
+        open_access: Whether requests need no API key.
+        keeps_prefix: Whether requests state the parts of their prompt.
+        resumable: Whether an interrupted stream may be resumed at another
+            endpoint.
     """
 
     name: str
@@ -62,25 +66,27 @@
 
     @property
     def weighted_destinations(self) -> tuple[Destination, ...]:
-        """The destinations, also where there is only one."""
+        """The destinations with their weights; at least one."""
         return self.destinations or (Destination(self.service),)
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may already have run may be sent again."""
         return self.request_kind is RequestKind.IDEMPOTENT or (
             self.request_kind is RequestKind.STREAM and self.resumable
         )
 
 
 class EngineProfile(msgspec.Struct, frozen=True):
-    """What all model engines of a service share.
+    """Properties of the model engines of a service.
 
     Attributes:
-        slots: Requests in a batch.
-        memory_tokens: Tokens that running requests and kept parts share.
-        token_bytes: Memory of one token, as it travels between engines.
-        link_mbps: The rate of such transfers, in megabits a second.
+        slots: Maximum number of requests in a batch.
+        memory_tokens: Cache capacity of an engine in tokens, for running
+            requests and cached prompt parts together.
+        token_bytes: Size of the cache of one token in a transfer between
+            engines, in bytes.
+        link_mbps: Rate of such transfers, in megabits per second.
     """
 
     slots: int = 1
@@ -90,7 +96,11 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """What stands behind a route."""
+    """A service that routes refer to.
+
+    Attributes:
+        engine: Properties of the service's model engines, if it has any.
+    """
 
     name: str
     health_path: str = ""
@@ -99,11 +109,11 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how slowly.
+    """Limits on what callers send.
 
     Attributes:
-        tokens_per_s: What all engines make together, a token that is read
-            counted once and one that is written twice.
+        tokens_per_s: Total throughput of all engines, where a prompt token
+            counts as 1 and an output token as 2.
     """
 
     max_header_bytes: int = 16384
@@ -114,7 +124,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A customer and its keys."""
+    """A customer's workspace and its API keys."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -122,7 +132,7 @@
 
 
 class FleetConfig(msgspec.Struct, frozen=True):
-    """One complete configuration."""
+    """A complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -131,53 +141,55 @@
     workspaces: tuple[Workspace, ...] | None = None
 
     def problems(self) -> list[str]:
-        """Returns what makes it invalid, each with its remedy."""
+        """Returns the errors of the configuration, each with its remedy."""
         return [
             *self._route_problems(),
-            *self._place_problems(),
+            *self._duplicate_route_problems(),
             *self._key_problems(),
         ]
 
     def _route_problems(self) -> list[str]:
-        known = {service.name for service in self.services}
-        found = []
+        services = {service.name for service in self.services}
+        problems = []
         for route in self.routes:
-            where = f"route {route.name!r}"
+            label = f"route {route.name!r}"
             for destination in route.weighted_destinations:
-                if destination.service not in known:
-                    found.append(
-                        f"{where} names the unknown service "
-                        f"{destination.service!r}; add it or mend the name"
+                if destination.service not in services:
+                    problems.append(
+                        f"{label} names the unknown service "
+                        f"{destination.service!r}; add it or correct the name"
                     )
             weights = [d.weight for d in route.weighted_destinations]
             if sum(weights) <= 0 or min(weights) < 0:
-                found.append(f"{where}: weights must add up to more than 0")
+                problems.append(
+                    f"{label}: weights must not be negative or all 0"
+                )
             if route.timeout_ms <= 0:
-                found.append(f"{where}: its timeout must be above 0")
-        return found
+                problems.append(f"{label}: the timeout must be greater than 0")
+        return problems
 
-    def _place_problems(self) -> list[str]:
-        found = []
-        taken: dict[tuple[str, str], str] = {}
+    def _duplicate_route_problems(self) -> list[str]:
+        problems = []
+        route_names: dict[tuple[str, str], str] = {}
         for route in self.routes:
-            place = (route.hostname, route.path_prefix)
-            other = taken.setdefault(place, route.name)
-            if other is not route.name:
-                found.append(
-                    f"routes {other!r} and {route.name!r} share host and "
-                    "prefix; change one"
+            match = (route.hostname, route.path_prefix)
+            first = route_names.setdefault(match, route.name)
+            if first is not route.name:
+                problems.append(
+                    f"routes {first!r} and {route.name!r} share hostname and "
+                    "path prefix; change one"
                 )
-        return found
+        return problems
 
     def _key_problems(self) -> list[str]:
-        found = []
-        holders: dict[str, str] = {}
+        problems = []
+        owners: dict[str, str] = {}
         for workspace in self.workspaces or ():
             for key in workspace.api_keys:
-                holder = holders.setdefault(key, workspace.name)
-                if holder != workspace.name:
-                    found.append(
-                        f"workspaces {holder!r} and {workspace.name!r} share "
+                owner = owners.setdefault(key, workspace.name)
+                if owner != workspace.name:
+                    problems.append(
+                        f"workspaces {owner!r} and {workspace.name!r} share "
                         "a key; give one of them another"
                     )
-        return found
+        return problems
--- a/packages/coordination/src/marjoramyard/coordination/routing/table.py
+++ b/packages/coordination/src/marjoramyard/coordination/routing/table.py
@@ -1,4 +1,4 @@
-"""Finds the route and the workspace of a request."""
+"""Looks up the route and the workspace of a request."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """Look-ups over one configuration, built once for each version."""
+    """Lookup tables of one version of the configuration."""
 
     def __init__(self, config: FleetConfig):
         self.config = config
@@ -30,14 +30,18 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests carry the key of a workspace."""
+        """Whether requests must have the API key of a workspace."""
         return self.config.workspaces is not None
 
     def route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest prefix of the path, or None.
 
-        Prefixes end with a slash, so there is one candidate for each slash
-        of the path, however many routes the host has.
+        Prefixes end with a slash, so the number of lookups is at most the
+        number of slashes in the path.
+
+        Args:
+            host: Value of the `Host` header, with or without a port.
+            path: Path of the request.
         """
         name = host.lower()
         prefixes = self.routes.get(name)
@@ -54,35 +58,37 @@
         return None
 
     def workspace_of_key(self, key: str) -> Workspace | None:
-        """Returns the workspace that a key belongs to."""
+        """Returns the workspace that an API key belongs to, or None."""
         return self.workspaces_by_key.get(key)
 
 
-def pick_destination(split: tuple[Destination, ...], lot: float) -> Destination:
-    """Draws a destination by weight.
+def pick_destination(
+    destinations: tuple[Destination, ...], fraction: float
+) -> Destination:
+    """Returns a random destination, by weight.
 
     Args:
-        split: The destinations; their weights add up to more than 0.
-        lot: Drawn evenly from 0 to 1, 1 excluded.
+        destinations: The destinations; the sum of their weights is positive.
+        fraction: Uniform random number from 0 (included) to 1 (excluded).
     """
-    total = sum(destination.weight for destination in split)
-    point = lot * total
-    for destination in split:
+    total = sum(destination.weight for destination in destinations)
+    point = fraction * total
+    for destination in destinations:
         point -= destination.weight
         if point < 0:
             return destination
-    return next(d for d in reversed(split) if d.weight)
+    return next(d for d in reversed(destinations) if d.weight)
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A run of prompt tokens that other requests may share."""
+    """A sequence of prompt tokens that requests may have in common."""
 
     digest: str
     tokens: int
 
 
 def parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
-    """Reads `ID:TOKENS,ID:TOKENS`; what can't be read ends the list."""
+    """Parses `ID:TOKENS,ID:TOKENS`, up to the first invalid item."""
     parts = []
     for item in text.split(","):
         digest, _, tokens = item.strip().partition(":")
