--- a/packages/coordination/tests/fairness/test_scheduler_properties.py
+++ b/packages/coordination/tests/fairness/test_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""The fairness bound and work conservation on the pure scheduler."""
+"""Fairness bound and work conservation of the scheduler."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -21,28 +21,28 @@
     )
 
 
-def counted(totals, origin, workspace):
+def served_by_origin(totals, origin, workspace):
     rows = totals.origins.get(origin)
     return rows.served.get(workspace, 0.0) if rows else 0.0
 
 
 class Agent:
-    """An agent with slots; every workspace is always backlogged."""
+    """An agent; all workspaces are always backlogged."""
 
     def __init__(self, name, slots):
         self.name = name
         self.slots = slots
-        self.lives = 0
+        self.incarnations = 0
         self.start()
 
     def start(self):
-        self.lives += 1
-        self.scheduler = make_scheduler(f"{self.name}~{self.lives}")
+        self.incarnations += 1
+        self.scheduler = make_scheduler(f"{self.name}~{self.incarnations}")
         self.link = None
         self.running = []
         self.sequence = 0
 
-    def hear_backlog(self):
+    def offer_backlog(self):
         self.sequence += 1
         self.scheduler.record_message("entry", "zone-a", self.sequence, 0.0)
         rows = [OfferRow(w, 1000) for w in SHARES]
@@ -50,61 +50,61 @@
 
 
 class Fleet:
-    """Agents that share totals through one entry, unreliably."""
+    """Agents that exchange totals with one entry over an unreliable link."""
 
     def __init__(self, agents, slots):
         self.agents = [Agent(f"a{n}", slots) for n in range(agents)]
         self.entry = Totals("entry")
         self.entry_links = {}
         self.served = dict.fromkeys(SHARES, 0.0)
-        self.worst_unseen = dict.fromkeys(SHARES, 0.0)
+        self.max_unseen = dict.fromkeys(SHARES, 0.0)
         self.lost = dict.fromkeys(SHARES, 0.0)
-        self.old_deltas = []
+        self.sent_deltas = []
         for agent in self.agents:
-            agent.hear_backlog()
+            agent.offer_backlog()
 
     def links(self, agent):
-        me = agent.scheduler.totals.incarnation
-        if me not in self.entry_links:
-            self.entry_links[me] = TotalsSync(self.entry)
+        name = agent.scheduler.totals.incarnation
+        if name not in self.entry_links:
+            self.entry_links[name] = TotalsSync(self.entry)
             agent.link = TotalsSync(agent.scheduler.totals)
-        return self.entry_links[me], agent.link
+        return self.entry_links[name], agent.link
 
-    def sync(self, agent, fate):
-        """Exchanges totals; either way may be lost or come twice."""
+    def sync(self, agent, delivery):
+        """Exchanges totals; messages may be lost or duplicated."""
         entry_link, agent_link = self.links(agent)
-        there = entry_link.make_delta()
-        self.old_deltas.append((agent_link, there))
-        if fate != "lost":
-            agent_link.apply_delta(there)
-        if fate == "twice":
-            agent_link.apply_delta(there)
-        back = agent_link.make_delta()
-        if fate in ("ok", "twice"):
-            entry_link.apply_delta(back)
-
-    def replay_old(self, place):
-        if self.old_deltas:
-            link, delta = self.old_deltas[place % len(self.old_deltas)]
+        request = entry_link.make_delta()
+        self.sent_deltas.append((agent_link, request))
+        if delivery != "lost":
+            agent_link.apply_delta(request)
+        if delivery == "twice":
+            agent_link.apply_delta(request)
+        reply = agent_link.make_delta()
+        if delivery in ("ok", "twice"):
+            entry_link.apply_delta(reply)
+
+    def replay_delta(self, index):
+        if self.sent_deltas:
+            link, delta = self.sent_deltas[index % len(self.sent_deltas)]
             link.apply_delta(delta)
 
     def grant(self, agent, cost):
         if len(agent.running) >= agent.slots:
             return
         choice = agent.scheduler.choose(lambda _: False)
-        assert choice is not None, "a free slot stayed idle beside a backlog"
+        assert choice is not None, "a free slot stayed idle despite a backlog"
         agent.scheduler.record_grant(choice)
         agent.scheduler.record_start(choice.workspace)
         agent.running.append([choice.workspace, cost])
-        self.note_unseen(agent)
+        self.update_max_unseen(agent)
 
-    def note_unseen(self, agent):
-        """Measures what the others charged that this agent does not see."""
+    def update_max_unseen(self, agent):
+        """Updates the maximum service that the agent has not seen."""
         for workspace, served in self.served.items():
             seen = agent.scheduler.totals.sums.get(workspace, 0.0)
             unseen = served - seen
-            worst = self.worst_unseen[workspace]
-            self.worst_unseen[workspace] = max(worst, unseen)
+            maximum = self.max_unseen[workspace]
+            self.max_unseen[workspace] = max(maximum, unseen)
 
     def stream(self, agent, amount):
         for run in list(agent.running):
@@ -117,37 +117,40 @@
                 agent.scheduler.record_finish(run[0], MAX_COST)
 
     def restart(self, agent):
-        """Its runs end, and what nobody else has seen yet is forgotten."""
-        own = agent.scheduler.totals
+        """Restarts an agent, which loses all service not yet synchronized."""
+        totals = agent.scheduler.totals
         for workspace in SHARES:
-            mine = counted(own, own.name, workspace)
-            mine += own.unpublished.get(workspace, 0.0)
-            self.lost[workspace] += mine - counted(
-                self.entry, own.name, workspace
+            own_service = served_by_origin(totals, totals.name, workspace)
+            own_service += totals.unpublished.get(workspace, 0.0)
+            self.lost[workspace] += own_service - served_by_origin(
+                self.entry, totals.name, workspace
             )
         agent.start()
         for _ in range(2):
             self.sync(agent, "ok")
-        agent.hear_backlog()
+        agent.offer_backlog()
 
     def check_bound(self):
-        """|service per share| differs by (N L + unseen + lost) / share."""
+        """Checks that virtual times differ by (N L + unseen + lost) / share.
+
+        N is the number of slots and L the maximum cost of a request.
+        """
         slots = sum(agent.slots for agent in self.agents)
-        for ahead, served in self.served.items():
-            share = SHARES[ahead]
-            allowed = slots * MAX_COST + self.worst_unseen[ahead]
+        for workspace, served in self.served.items():
+            share = SHARES[workspace]
+            allowed = slots * MAX_COST + self.max_unseen[workspace]
             bound = allowed / share
             for other in SHARES:
                 behind = self.served[other] / SHARES[other]
-                forgotten = self.lost[other] / SHARES[other]
-                assert served / share <= behind + bound + forgotten + 1.0
+                lost = self.lost[other] / SHARES[other]
+                assert served / share <= behind + bound + lost + 1.0
 
 
 _step = st.tuples(
     st.sampled_from(["grant", "stream", "sync", "restart", "replay"]),
     st.integers(0, 2),
     st.floats(1.0, MAX_COST),
-    st.sampled_from(["ok", "ok", "ok", "lost", "half", "twice"]),
+    st.sampled_from(["ok", "ok", "ok", "lost", "reply_lost", "twice"]),
 )
 
 
@@ -155,27 +158,26 @@
 @settings(max_examples=150)
 def test_the_gap_stays_within_the_formula(agents, slots, steps):
     fleet = Fleet(agents, slots)
-    for action, who, amount, fate in steps:
-        agent = fleet.agents[who % agents]
+    for action, index, amount, delivery in steps:
+        agent = fleet.agents[index % agents]
         if action == "grant":
             fleet.grant(agent, amount)
         elif action == "stream":
             fleet.stream(agent, amount)
         elif action == "sync":
-            fleet.sync(agent, fate)
+            fleet.sync(agent, delivery)
         elif action == "replay":
-            fleet.replay_old(int(amount))
+            fleet.replay_delta(int(amount))
         else:
             fleet.restart(agent)
         fleet.check_bound()
 
 
 @given(st.lists(st.integers(0, 3), min_size=1, max_size=30))
-def test_a_workspace_back_from_idle_has_no_hoarded_credit(order):
-    """The counter was idle for an hour while a guide writer was served.
+def test_an_idle_workspace_accumulates_no_credit(order):
+    """A workspace must not accumulate credit while it is idle.
 
-    It comes back with a burst. With its old level it would shut the guide
-    writer out for as long as that hour's work; lifted, both get turns.
+    Otherwise its next burst would block the workspaces served meanwhile.
     """
     scheduler = make_scheduler("a")
     scheduler.record_message("entry", "zone-a", 1, 0.0)
@@ -196,25 +198,25 @@
 
 
 def test_a_flood_starves_nobody():
-    """One workspace floods; another has a single request now and then."""
+    """The excess load of one workspace must not delay another for long."""
     scheduler = make_scheduler("a")
     scheduler.record_message("entry", "zone-a", 1, 0.0)
     scheduler.update_offers(
         "entry", [OfferRow("w0", 100_000), OfferRow("w3", 1)]
     )
-    waited = 0
+    served_before = 0
     while scheduler.choose(lambda _: False).workspace != "w3":
         scheduler.record_grant(scheduler.choose(lambda _: False))
         scheduler.charge("w0", MAX_COST)
-        waited += 1
-    assert waited <= 1
+        served_before += 1
+    assert served_before <= 1
 
 
 def test_credit_from_a_long_cut_is_written_off():
-    """For minutes one side of a cut served w0 and w3, the other only w0.
+    """Credit from a network partition is limited.
 
-    After the heal the totals add up, and w0 would wait until w3 has caught
-    up with both sides. Beyond the limit the old credit is written off.
+    Both sides served w0 and their totals add up, so that w0 would wait until
+    w3 has caught up.
     """
     policy = FairnessPolicy(credit_limit=100.0)
     scheduler = make_scheduler("a", policy)
@@ -230,7 +232,6 @@
 
 
 def test_a_warm_prefix_goes_first_only_within_the_slack():
-    """A knob of the bundle lets a warm prompt pass, but not far."""
     policy = FairnessPolicy(prefix_slack=50.0)
     scheduler = make_scheduler("a", policy)
     scheduler.record_message("entry", "zone-a", 1, 0.0)
@@ -243,8 +244,7 @@
     assert scheduler.choose(lambda p: p == "warm").workspace == "w3"
 
 
-def test_silent_entries_and_unused_grants_are_forgotten():
-    """An entry dies with its waiting requests, and is asked no more."""
+def test_offers_of_expired_entries_and_unused_grants_are_withdrawn():
     scheduler = make_scheduler("a")
     scheduler.record_message("entry", "zone-a", 1, 10.0)
     scheduler.update_offers("entry", [OfferRow("w0", 2), OfferRow("w1", 1)])
@@ -255,7 +255,7 @@
     assert scheduler.choose(lambda _: False) is None
 
 
-def test_an_old_offer_does_not_undo_a_newer_one():
+def test_a_reordered_message_is_not_the_newest():
     scheduler = make_scheduler("a")
     assert scheduler.record_message("entry", "zone-a", 5, 0.0)
     assert not scheduler.record_message("entry", "zone-a", 4, 0.0)
