--- a/packages/coordination/tests/membership/test_registrations.py
+++ b/packages/coordination/tests/membership/test_registrations.py
@@ -1,4 +1,4 @@
-"""Heartbeats that come late, twice, out of order or from the dead."""
+"""Delayed, duplicated and reordered heartbeats, and endpoint health."""
 
 import msgspec
 from hypothesis import given
@@ -17,7 +17,7 @@
 )
 
 
-def make_word(endpoint="i-1", **changes):
+def make_registration(endpoint="i-1", **changes):
     fields = {
         "endpoint": endpoint,
         "service": "llm",
@@ -29,67 +29,59 @@
 
 
 def usable(table):
-    return {word.endpoint for word in table.usable("llm")}
+    return {registration.endpoint for registration in table.usable("llm")}
 
 
-def test_a_late_ready_does_not_bring_back_a_draining_endpoint():
-    """The caller would get an endpoint that is about to exit.
-
-    The endpoint says ready (4), then draining (5); the network delivers
-    draining first. The older word must not count.
-    """
+def test_a_delayed_ready_does_not_undo_draining():
+    """Requests would be sent to an endpoint that is about to stop."""
     table = Registrations()
-    table.merge(make_word(state=EndpointState.DRAINING, sequence=5), now=0.0)
-    assert not table.merge(make_word(sequence=4), now=1.0)
+    table.merge(
+        make_registration(state=EndpointState.DRAINING, sequence=5), now=0.0
+    )
+    assert not table.merge(make_registration(sequence=4), now=1.0)
     assert usable(table) == set()
 
 
 def test_a_heartbeat_after_the_departure_changes_nothing():
-    """The caller would be sent to an address where nobody listens.
-
-    The endpoint leaves, and a heartbeat with a higher number, which another
-    node had kept, arrives seconds later. Departed is final for a lifetime.
-    """
+    """Requests would be sent to an endpoint that has stopped."""
     table = Registrations()
-    table.merge(make_word(sequence=7), now=0.0)
+    table.merge(make_registration(sequence=7), now=0.0)
     table.mark_departed("i-1", now=1.0)
-    assert not table.merge(make_word(sequence=9), now=2.0)
+    assert not table.merge(make_registration(sequence=9), now=2.0)
     assert usable(table) == set()
 
 
-def test_a_new_lifetime_under_the_same_id_counts_from_anew():
+def test_a_new_lifetime_under_the_same_id_is_accepted():
     table = Registrations()
-    table.merge(make_word(sequence=50), now=0.0)
+    table.merge(make_registration(sequence=50), now=0.0)
     table.mark_departed("i-1", now=1.0)
-    assert table.merge(make_word(sequence=1, born=200), now=2.0)
+    assert table.merge(make_registration(sequence=1, born=200), now=2.0)
     assert usable(table) == {"i-1"}
 
 
-def test_a_delayed_heartbeat_does_not_take_an_address_back():
-    """The caller's request would reach a stranger at the address.
-
-    i-1 crashes, i-2 starts at its address, then a heartbeat of i-1 that a
-    partition held up arrives. The lifetime that began last holds.
-    """
+def test_a_delayed_heartbeat_does_not_reclaim_an_address():
+    """Requests for i-1 would be sent to i-2, which reuses its address."""
     table = Registrations()
-    table.merge(make_word("i-1", address="10.0.0.9:80"), now=0.0)
-    table.merge(make_word("i-2", address="10.0.0.9:80", born=300), now=5.0)
+    table.merge(make_registration("i-1", address="10.0.0.9:80"), now=0.0)
+    table.merge(
+        make_registration("i-2", address="10.0.0.9:80", born=300), now=5.0
+    )
     assert not table.merge(
-        make_word("i-1", address="10.0.0.9:80", sequence=8), now=6.0
+        make_registration("i-1", address="10.0.0.9:80", sequence=8), now=6.0
     )
     assert usable(table) == {"i-2"}
 
 
-def test_a_heartbeat_alone_is_no_change_but_is_heard():
+def test_a_heartbeat_alone_is_no_change_but_is_timed():
     table = Registrations()
-    assert table.merge(make_word(sequence=1), now=0.0)
-    assert not table.merge(make_word(sequence=2), now=3.0)
+    assert table.merge(make_registration(sequence=1), now=0.0)
+    assert not table.merge(make_registration(sequence=2), now=3.0)
     assert table.seconds_since_received("i-1", now=4.0) == 1.0
 
 
-def test_ended_lifetimes_are_forgotten_in_the_end():
+def test_departed_endpoints_expire():
     table = Registrations()
-    table.merge(make_word(), now=0.0)
+    table.merge(make_registration(), now=0.0)
     table.mark_departed("i-1", now=1.0)
     table.expire_departed(now=DEPARTED_RETENTION_SECONDS / 2)
     assert "i-1" in table.by_endpoint
@@ -98,7 +90,7 @@
     assert not table.by_address
 
 
-words = st.builds(
+_registrations = st.builds(
     Registration,
     endpoint=st.sampled_from(["i-1", "i-22", "i-333"]),
     service=st.just("llm"),
@@ -107,32 +99,37 @@
     sequence=st.integers(0, 6),
     born=st.integers(1, 3),
 ).map(
-    lambda word: msgspec.structs.replace(
-        word, address=f"10.0.0.{len(word.endpoint)}:80"
+    lambda registration: msgspec.structs.replace(
+        registration, address=f"10.0.0.{len(registration.endpoint)}:80"
     )
 )
 
 
 @given(
-    st.lists(words, max_size=8).flatmap(
-        lambda told: st.tuples(st.just(told), st.permutations(told))
+    st.lists(_registrations, max_size=8).flatmap(
+        lambda received: st.tuples(st.just(received), st.permutations(received))
     )
 )
-def test_all_tables_agree_whatever_the_order(told):
-    """Nodes hear the same words in different orders, some of them twice."""
-    # Two words of one number differ only if a sender lies about itself.
-    one_each = {
-        (w.endpoint, w.precedence): w for w in sorted(told[0], key=repr)
+def test_tables_converge_in_any_order(received):
+    # Endpoints never send different registrations with the same precedence.
+    by_precedence = {
+        (r.endpoint, r.precedence): r for r in sorted(received[0], key=repr)
     }
     first, second = Registrations(), Registrations()
-    for word in told[0]:
-        first.merge(one_each[word.endpoint, word.precedence], now=0.0)
-    for word in [*told[1], *told[0]]:
-        second.merge(one_each[word.endpoint, word.precedence], now=0.0)
+    for registration in received[0]:
+        first.merge(
+            by_precedence[registration.endpoint, registration.precedence],
+            now=0.0,
+        )
+    for registration in [*received[1], *received[0]]:
+        second.merge(
+            by_precedence[registration.endpoint, registration.precedence],
+            now=0.0,
+        )
     assert first.by_endpoint == second.by_endpoint
 
 
-def test_pauses_grow_and_end_with_a_success():
+def test_backoff_grows_and_ends_with_a_success():
     health = EndpointHealth()
     health.record_failure(now=0.0)
     assert health.is_backing_off(INITIAL_BACKOFF_SECONDS / 2)
--- a/packages/coordination/tests/routing/test_config.py
+++ b/packages/coordination/tests/routing/test_config.py
@@ -1,4 +1,4 @@
-"""What a configuration must not say, and the route of a request."""
+"""Validation of a configuration and route lookup."""
 
 import msgspec
 import pytest
@@ -56,7 +56,7 @@
         ),
     ],
 )
-def test_an_invalid_configuration_is_named(config, part):
+def test_an_invalid_configuration_has_one_problem(config, part):
     problems = config.problems()
     assert len(problems) == 1
     assert part in problems[0]
@@ -85,7 +85,7 @@
     assert table.route("other.example", "/a/b/c") is None
 
 
-def test_a_path_before_every_prefix_has_no_route():
+def test_a_path_without_a_matching_prefix_has_no_route():
     table = RouteTable(make_config(make_route("only", "/a/")))
     assert table.route("shop.example", "/a") is None
     assert table.route("shop.example", "/") is None
@@ -95,12 +95,12 @@
     st.lists(st.integers(0, 5), min_size=1, max_size=5).filter(any),
     st.floats(0, 1, exclude_max=True),
 )
-def test_a_destination_without_weight_is_never_picked(weights, lot):
-    split = tuple(Destination(str(i), w) for i, w in enumerate(weights))
-    assert pick_destination(split, lot).weight > 0
+def test_a_destination_without_weight_is_never_picked(weights, fraction):
+    destinations = tuple(Destination(str(i), w) for i, w in enumerate(weights))
+    assert pick_destination(destinations, fraction).weight > 0
 
 
-def test_prompt_parts_end_where_they_can_t_be_read():
+def test_prompt_parts_end_at_the_first_invalid_item():
     assert parse_prompt_parts("a1:800, b2:41,junk,c3:5") == (
         PromptPart("a1", 800),
         PromptPart("b2", 41),
@@ -108,7 +108,7 @@
     assert parse_prompt_parts("") == ()
 
 
-def test_a_stream_may_be_repeated_only_where_it_may_be_resumed():
+def test_a_stream_may_be_repeated_only_if_it_is_resumable():
     stream = make_route(request_kind=RequestKind.STREAM)
     assert not stream.may_repeat
     assert msgspec.structs.replace(stream, resumable=True).may_repeat
--- a/packages/coordination/tests/serving/test_serving_parts.py
+++ b/packages/coordination/tests/serving/test_serving_parts.py
@@ -1,4 +1,4 @@
-"""Frames, retries, slots, prefixes and queues."""
+"""Frames, retries, slots, prefixes, request queues and events."""
 
 import pytest
 from hypothesis import given
@@ -25,47 +25,43 @@
 _chunks = st.lists(st.binary(min_size=1, max_size=20), max_size=8)
 
 
-def answer_of(chunks):
-    tail = ReplayBuffer()
-    tail.begin(200, [("content-type", "text/plain")])
+def make_replay_buffer(chunks):
+    replay_buffer = ReplayBuffer()
+    replay_buffer.begin(200, [("content-type", "text/plain")])
     for chunk in chunks:
-        tail.add_data(chunk)
-    tail.end()
-    return tail
+        replay_buffer.add_data(chunk)
+    replay_buffer.end()
+    return replay_buffer
 
 
 @given(_chunks, st.integers(1, 60), st.lists(st.integers(0, 200), max_size=6))
-def test_an_answer_is_whole_whatever_the_link_does(chunks, size, breaks):
-    """The link breaks anywhere, and is resumed from the next frame.
-
-    The caller gets every byte once and in order, and a whole answer is
-    only ever one whose end has come and agrees.
-    """
-    tail = answer_of(chunks)
+def test_a_response_is_complete_after_any_resumes(chunks, size, breaks):
+    """A connection that breaks anywhere loses and duplicates no bytes."""
+    replay_buffer = make_replay_buffer(chunks)
     reader = ResponseReader()
-    got = b""
+    received = b""
     while not reader.complete:
-        frames = tail.frames_from(reader.next_number)
+        frames = replay_buffer.frames_from(reader.next_number)
         stream = b"".join(frame.encode() for frame in frames)
         stop = breaks.pop() if breaks else len(stream)
         parser = FrameParser()
-        for place in range(0, min(stop, len(stream)), size):
-            piece = stream[place : min(place + size, stop)]
+        for offset in range(0, min(stop, len(stream)), size):
+            piece = stream[offset : min(offset + size, stop)]
             for frame in parser.feed(piece):
                 assert reader.accept(frame)
-                got += frame.data
-    assert got == b"".join(chunks)
+                received += frame.data
+    assert received == b"".join(chunks)
 
 
 @given(_chunks.filter(len), st.data())
-def test_a_lost_or_changed_frame_is_never_taken_for_a_whole(chunks, data):
-    frames = answer_of(chunks).frames_from(0)
-    place = data.draw(st.integers(1, len(frames) - 2))
+def test_a_response_with_a_lost_or_changed_frame_is_rejected(chunks, data):
+    frames = make_replay_buffer(chunks).frames_from(0)
+    index = data.draw(st.integers(1, len(frames) - 2))
     reader = ResponseReader()
     if data.draw(st.booleans()):
-        frames.pop(place)
+        frames.pop(index)
     else:
-        frames[place].data = frames[place].data + b"!"
+        frames[index].data = frames[index].data + b"!"
     with pytest.raises(BrokenResponseError):
         for frame in frames:
             reader.accept(frame)
@@ -73,22 +69,22 @@
 
 
 def test_unsent_frames_are_kept_and_the_producer_waits():
-    """A caller reads slowly: nothing it has not had yet may be dropped."""
-    tail = ReplayBuffer(limit=10)
-    tail.begin(200, [])
+    """A slow reader must not cause frames to be discarded."""
+    replay_buffer = ReplayBuffer(limit=10)
+    replay_buffer.begin(200, [])
     for _ in range(5):
-        tail.add_data(b"x" * 6)
-    assert tail.is_full
-    assert len(tail.frames_from(0)) == 6
-    tail.mark_sent(6)
-    tail.add_data(b"y")
-    assert not tail.is_full
+        replay_buffer.add_data(b"x" * 6)
+    assert replay_buffer.is_full
+    assert len(replay_buffer.frames_from(0)) == 6
+    replay_buffer.mark_sent(6)
+    replay_buffer.add_data(b"y")
+    assert not replay_buffer.is_full
     with pytest.raises(ReplayLostError):
-        tail.frames_from(0)
+        replay_buffer.frames_from(0)
 
 
-def test_a_resume_gets_no_frame_twice():
-    frames = answer_of([b"a", b"b"]).frames_from(0)
+def test_a_duplicate_frame_is_ignored():
+    frames = make_replay_buffer([b"a", b"b"]).frames_from(0)
     reader = ResponseReader()
     assert reader.accept(frames[0])
     assert not reader.accept(frames[0])
@@ -117,8 +113,7 @@
     assert limit.limit == 4
 
 
-def test_a_gap_in_cache_events_forgets_everything():
-    """An event was lost: what the engine still holds is not known."""
+def test_a_gap_in_eviction_events_clears_the_history():
     history = PrefixHistory()
     history.record_run("a")
     history.record_run("b")
@@ -128,46 +123,46 @@
     assert not history.is_warm("b")
 
 
-def waiting(klass, since):
-    return QueuedRequest("w", klass, since, 1, "", None)
+def make_request(request_class, queued_at):
+    return QueuedRequest("w", request_class, queued_at, 1, "", None)
 
 
-def test_a_deferrable_request_is_not_held_back_forever():
-    """Interactive requests come in a steady stream; a long guide waits."""
+def test_a_deferrable_request_is_not_starved():
+    """Interactive requests arrive in a steady stream."""
     queue = ServiceQueue()
-    guide = waiting(RequestClass.DEFERRABLE, 0.0)
-    queue.add(guide)
+    deferrable = make_request(RequestClass.DEFERRABLE, 0.0)
+    queue.add(deferrable)
     now, turns = 0.0, 0
-    queue.add(waiting(RequestClass.INTERACTIVE, now))
-    while queue.pop("w", now) is not guide and turns < 99:
+    queue.add(make_request(RequestClass.INTERACTIVE, now))
+    while queue.pop("w", now) is not deferrable and turns < 99:
         now += 1.0
         turns += 1
-        queue.add(waiting(RequestClass.INTERACTIVE, now))
+        queue.add(make_request(RequestClass.INTERACTIVE, now))
     assert AGEING_SECONDS <= turns <= AGEING_SECONDS + 1
 
 
-def test_a_request_given_up_is_not_handed_out():
+def test_a_removed_request_is_not_popped():
     queue = ServiceQueue()
-    item = waiting(RequestClass.INTERACTIVE, 0.0)
-    queue.add(item)
-    assert queue.remove(item)
-    assert not queue.remove(item)
+    request = make_request(RequestClass.INTERACTIVE, 0.0)
+    queue.add(request)
+    assert queue.remove(request)
+    assert not queue.remove(request)
     assert queue.pop("w", 1.0) is None
     assert queue.count() == 0
 
 
 @given(st.lists(st.integers(1, 30), min_size=1), st.integers(0, 200))
-def test_only_whole_events_are_passed_on(sizes, stop):
-    """A stream breaks off anywhere and is resumed behind the last id."""
+def test_only_complete_events_are_returned(sizes, stop):
+    """A stream is interrupted anywhere and resumed after the last id."""
     events = [b"id: %d\ndata: token-%d\n\n" % (n, n) for n in range(9)]
     stream = b"".join(events)
-    cutter, got, place = EventSplitter(), b"", 0
-    while place < min(stop, len(stream)):
-        size = sizes[place % len(sizes)]
-        got += cutter.feed(stream[place : min(place + size, stop)])
-        place += size
-    assert stream.startswith(got)
-    first = int(cutter.last_id) + 1 if cutter.last_id else 0
-    cutter.discard_partial()
-    got += cutter.feed(b"".join(events[first:]))
-    assert got == stream
+    splitter, received, offset = EventSplitter(), b"", 0
+    while offset < min(stop, len(stream)):
+        size = sizes[offset % len(sizes)]
+        received += splitter.feed(stream[offset : min(offset + size, stop)])
+        offset += size
+    assert stream.startswith(received)
+    first = int(splitter.last_id) + 1 if splitter.last_id else 0
+    splitter.discard_partial()
+    received += splitter.feed(b"".join(events[first:]))
+    assert received == stream
