--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -8,7 +8,7 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.coordination.serving.frames import KEEPALIVE, TailLostError
+from marjoramyard.coordination.serving.frames import KEEPALIVE, ReplayLostError
 from marjoramyard.fleet.agent.attempts import Attempt, AttemptState
 from marjoramyard.fleet.agent.calls import finish_call, start_call
 from marjoramyard.fleet.agent.endpoint import Endpoint
@@ -194,7 +194,7 @@
     def _record_result(self, attempt: Attempt, reason: Failure | None) -> None:
         run = attempt.run_request
         if reason is None:
-            self.endpoint.prefixes.ran(run.prefix)
+            self.endpoint.prefixes.record_run(run.prefix)
         if attempt.held_suspect:
             fingerprint = Fingerprint(run.fingerprint)
             self.guard.release(fingerprint, clear=reason is None)
@@ -268,7 +268,7 @@
         self.app.metrics.count("resumes")
         try:
             return await self._stream(request, attempt, first)
-        except TailLostError:
+        except ReplayLostError:
             raise_failure(
                 Kind.ANSWER_CUT,
                 "the next frame is no longer buffered",
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -57,9 +57,9 @@
             )
         self.announced = announcement
         self.last_announced_at = time.monotonic()
-        self.slots.announce(self._capped(announcement.slots))
+        self.slots.set_announced(self._capped(announcement.slots))
         if announcement.event_number >= 0:
-            self.prefixes.evicted(
+            self.prefixes.on_evictions(
                 announcement.event_number, announcement.evicted
             )
         return is_restart or before.state != announcement.state
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -14,7 +14,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.membership import Membership
@@ -89,7 +89,7 @@
             self._share_of,
             membership.bundle.policy.fairness(),
         )
-        self.links: dict[str, TotalsLink] = {}
+        self.links: dict[str, TotalsSync] = {}
         self.addresses: dict[str, str] = {}
         self.reported_busy_to: set[str] = set()
         self.grants: dict[str, Grant] = {}
@@ -112,7 +112,9 @@
 
     def _register_gauges(self) -> None:
         metrics = self.app.metrics
-        metrics.gauge("fairness_gap", lambda: [(self.scheduler.gap(), {})])
+        metrics.gauge(
+            "fairness_gap", lambda: [(self.scheduler.virtual_time_gap(), {})]
+        )
         metrics.gauge("slots", self._slot_numbers)
         metrics.gauge("utilisation", lambda: [(self.utilisation(), {})])
 
@@ -160,10 +162,10 @@
 
     # Messages from entries.
 
-    def link(self, entry: str) -> TotalsLink:
+    def link(self, entry: str) -> TotalsSync:
         """Returns the exchange of totals with an entry."""
         if entry not in self.links:
-            self.links[entry] = TotalsLink(self.totals)
+            self.links[entry] = TotalsSync(self.totals)
         return self.links[entry]
 
     def on_offer(self, message: OfferMessage) -> OfferReply:
@@ -173,21 +175,23 @@
         if message.totals is not None:
             # A restarted agent needs the totals before it chooses among the
             # offers.
-            link.incoming(message.totals)
+            link.apply_delta(message.totals)
         self.addresses[entry] = message.address
         now = time.monotonic()
         self._update_usage()
-        if self.scheduler.hear(entry, message.zone, message.sequence, now):
+        if self.scheduler.record_message(
+            entry, message.zone, message.sequence, now
+        ):
             if message.whole:
                 self.scheduler.replace_offers(entry, message.rows)
             else:
-                self.scheduler.offer(entry, message.rows)
+                self.scheduler.update_offers(entry, message.rows)
         if message.leaving:
             self.remove_entry(entry)
         self.grant_free_slots()
         if self.free == 0:
             self.reported_busy_to.add(entry)
-        totals = link.outgoing() if message.totals is not None else None
+        totals = link.make_delta() if message.totals is not None else None
         return OfferReply(
             self.free, len(self.addresses), totals, self.is_leaving()
         )
@@ -219,11 +223,11 @@
     def grant_free_slots(self) -> None:
         """Grants each free slot to the workspace that is next in order."""
         while self.free > 0 and self.accepts_work():
-            choice = self.scheduler.next(self.endpoint.prefixes.is_warm)
+            choice = self.scheduler.choose(self.endpoint.prefixes.is_warm)
             if choice is None:
                 self._notify_free()
                 return
-            self.scheduler.taken(choice)
+            self.scheduler.record_grant(choice)
             grant_id = secrets.token_hex(6)
             expires_at = time.monotonic() + 2 * _GRANT_TIMEOUT_SECONDS
             self.grants[grant_id] = Grant(choice, expires_at)
@@ -270,7 +274,7 @@
         if not accepted:
             self._update_usage()
             self.grants.pop(grant_id, None)
-            self.scheduler.unused(choice)
+            self.scheduler.withdraw_unused(choice)
             self.grant_free_slots()
 
     def _on_grant_accepted(
@@ -284,7 +288,7 @@
             # The reply is newer than the offer, so the next slot needn't
             # wait for a refresh.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
-            self.scheduler.offer(choice.entry, [row])
+            self.scheduler.update_offers(choice.entry, [row])
             self.grant_free_slots()
 
     # Attempts.
@@ -316,7 +320,7 @@
                 return failure(
                     Kind.BUSY, "the grant has expired; queue the request again"
                 )
-        elif self.free == 0 or not self.scheduler.may_go_first(workspace):
+        elif self.free == 0 or not self.scheduler.may_bypass_queue(workspace):
             return failure(Kind.BUSY, "no slot is free for a direct attempt")
         self.running += 1
         return None
