--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -54,16 +54,16 @@
     A body over `MAX_STORED_BYTES` is left out.
     """
     body = bytes(attempt.response_body)
-    stored = None
+    encoded_body = None
     if len(body) <= MAX_STORED_BYTES:
-        stored = base64.b64encode(body).decode()
-    answer = StoredResponse(
+        encoded_body = base64.b64encode(body).decode()
+    stored_response = StoredResponse(
         attempt.status,
         attempt.headers,
-        stored,
+        encoded_body,
         hashlib.sha256(body).hexdigest(),
     )
     run = attempt.run_request
-    command = FinishCall(run.call.key, run.attempt, answer)
+    command = FinishCall(run.call.key, run.attempt, stored_response)
     reply = await control.command(command, _FINISH_TIMEOUT_SECONDS)
     return not isinstance(reply, Err)
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -104,8 +104,8 @@
     )
 
 
-def _replay(answer: StoredResponse | None) -> web.Response:
-    if answer is None or answer.body is None:
+def _replay(stored: StoredResponse | None) -> web.Response:
+    if stored is None or stored.body is None:
         raise FleetError(
             failure(
                 Kind.CALL_UNKNOWN,
@@ -115,9 +115,9 @@
             )
         )
     response = web.Response(
-        status=answer.status, body=base64.b64decode(answer.body)
+        status=stored.status, body=base64.b64decode(stored.body)
     )
-    copy_headers(answer.headers, response)
+    copy_headers(stored.headers, response)
     response.headers[OUTCOME_HEADER] = Outcome.COMPLETE.value
     response.headers[REPLAY_HEADER] = "true"
     return response
