--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -151,7 +151,7 @@
 
 def _reused() -> Failure:
     return failure(
-        Kind.KEY_REUSED,
+        Kind.IDEMPOTENCY_KEY_REUSED,
         "this Idempotency-Key came with another body; use a new key for a "
         "new call",
     )
--- a/packages/coordination/src/marjoramyard/coordination/governance/orders.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/orders.py
@@ -36,13 +36,13 @@
         """Returns why an order must not pass, or None."""
         if not self.learned:
             return failure(
-                Kind.STALE_ORDER,
+                Kind.STALE_FENCING_NUMBER,
                 "the newest number is not known yet after a restart; it is "
                 "learned with the next lease",
             )
         if number < self.newest:
             return failure(
-                Kind.STALE_ORDER,
+                Kind.STALE_FENCING_NUMBER,
                 f"order {number} is older than {self.newest}; issue it again",
             )
         self.newest = number
--- a/packages/coordination/tests/governance/test_ledger_properties.py
+++ b/packages/coordination/tests/governance/test_ledger_properties.py
@@ -106,9 +106,11 @@
 def test_the_same_key_with_another_body_is_an_error():
     ledger = Ledger({})
     ledger.start(KEY, DIGEST, "a", 0, 10)
-    assert ledger.look_up(KEY, "other").refusal.kind is Kind.KEY_REUSED
+    assert (
+        ledger.look_up(KEY, "other").refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
+    )
     view = ledger.start(KEY, "other", "b", 0, 10)
-    assert view.refusal.kind is Kind.KEY_REUSED
+    assert view.refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
 
 
 def test_a_full_ledger_refuses_new_calls_and_forgets_none():
--- a/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
@@ -6,7 +6,7 @@
 
 import click
 
-from marjoramyard.ctl import stories
+from marjoramyard.ctl import request_traces
 
 EXIT_NOT_FOUND = 1
 
@@ -18,11 +18,11 @@
 )
 
 
-def _read(files: tuple[Path, ...]) -> list[stories.Line]:
-    lines: list[stories.Line] = []
+def _read(files: tuple[Path, ...]) -> list[request_traces.Line]:
+    lines: list[request_traces.Line] = []
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as text:
-            lines += stories.read_lines(text)
+            lines += request_traces.read_lines(text)
     return lines
 
 
@@ -32,7 +32,7 @@
 @click.pass_obj
 def explain(session, request_id: str, files: tuple[Path, ...]) -> None:
     """Tells what became of a request, from the logs of several processes."""
-    story = stories.story_of(request_id, _read(files))
+    story = request_traces.trace_of(request_id, _read(files))
     if not story:
         click.echo(
             f"no line of {request_id} in these files; add the logs of all "
@@ -42,7 +42,7 @@
         sys.exit(EXIT_NOT_FOUND)
     for line in story:
         as_json = session.output == "json"
-        click.echo(json.dumps(line) if as_json else stories.render(line))
+        click.echo(json.dumps(line) if as_json else request_traces.render(line))
 
 
 @click.command()
@@ -50,7 +50,7 @@
 @click.pass_obj
 def causes(session, files: tuple[Path, ...]) -> None:
     """Counts why requests failed, the most frequent cause first."""
-    found = stories.causes(_read(files))
+    found = request_traces.causes(_read(files))
     if session.output == "json":
         click.echo(json.dumps(dict(found)))
         return
--- a/packages/ctl/src/marjoramyard/ctl/stories.py
+++ b/packages/ctl/src/marjoramyard/ctl/request_traces.py
@@ -36,7 +36,7 @@
     return line["event"] == "request" and not 200 <= status < 300
 
 
-def story_of(request_id: str, lines: list[Line]) -> list[Line]:
+def trace_of(request_id: str, lines: list[Line]) -> list[Line]:
     """Returns the lines that tell of one request, by time.
 
     They are its own lines, and the changes that the processes on its way
--- a/packages/ctl/src/marjoramyard/ctl/session.py
+++ b/packages/ctl/src/marjoramyard/ctl/session.py
@@ -104,7 +104,7 @@
 
 def exit_code_of(reason: Failure) -> int:
     """Returns the exit code of a failure."""
-    if reason.kind in (Kind.CONFLICT, Kind.KEY_REUSED):
+    if reason.kind in (Kind.CONFLICT, Kind.IDEMPOTENCY_KEY_REUSED):
         return EXIT_CONFLICT
     if reason.kind in (Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.NOT_LEADER):
         return EXIT_UNREACHABLE
--- a/packages/ctl/tests/test_stories.py
+++ b/packages/ctl/tests/test_request_traces.py
@@ -12,7 +12,7 @@
 
 
 def run(*words):
-    return CliRunner().invoke(main, [*words, str(GOLDEN / "rush.log")])
+    return CliRunner().invoke(main, [*words, str(GOLDEN / "overload.log")])
 
 
 @pytest.mark.parametrize("request_id", ["aa01", "aa02", "aa03"])
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -239,7 +239,7 @@
             )
         if first < attempt.tail.first_kept:
             raise_failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the frames to resume from are gone",
                 Outcome.UNKNOWN,
             )
@@ -248,7 +248,7 @@
             return await self._stream(request, attempt, first)
         except TailLostError:
             raise_failure(
-                Kind.ANSWER_CUT, "the frames are gone", Outcome.UNKNOWN
+                Kind.RESPONSE_TRUNCATED, "the frames are gone", Outcome.UNKNOWN
             )
 
     async def on_cancel(self, request: web.Request) -> web.Response:
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -254,7 +254,7 @@
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the endpoint ended the stream without its last event",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -53,7 +53,7 @@
             self.app.incarnation,
             "agent",
             settings.zone,
-            settings.reachable,
+            settings.advertised_address,
             word.service if word else "",
             state,
             self.endpoint.slots.limit if word else 0,
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -236,7 +236,7 @@
         address = self.addresses.get(choice.entry)
         message = GrantMessage(
             self.app.incarnation,
-            self.app.settings.reachable,
+            self.app.settings.advertised_address,
             self.endpoint.announced.service,
             choice.workspace,
             name,
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -70,7 +70,7 @@
 
 def _later() -> Failure:
     return failure(
-        Kind.HELD_APART,
+        Kind.SUSPECT_HELD,
         "this request ran when an endpoint died; it runs again as soon as "
         "it can run apart from other such requests",
         retry_after=random.uniform(0.5, 1.5),
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -249,7 +249,9 @@
         return web.Response(text="not ready\n", status=503)
 
     async def _metrics_page(self, _: web.Request) -> web.Response:
-        return web.Response(body=self.metrics.page(), content_type="text/plain")
+        return web.Response(
+            body=self.metrics.prometheus_text(), content_type="text/plain"
+        )
 
     def _serve_metrics(self) -> AbstractAsyncContextManager:
         """Serves the metrics page on its own address too, if it has one."""
@@ -278,7 +280,7 @@
         if isinstance(loaded, Err):
             logger.error("settings_refused", why=loaded.err_value)
             return
-        changed = self.settings.take_over(loaded.ok_value)
+        changed = self.settings.apply_changes(loaded.ok_value)
         logger.info("settings_reloaded", changed=changed)
 
     async def _watch_settings(self) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/control/keeper.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/keeper.py
@@ -76,7 +76,7 @@
             entries = role.running.core.log.last_index
         return ControlHost(
             self.settings.name,
-            self.settings.reachable,
+            self.settings.advertised_address,
             self.settings.operator_listen,
             self.settings.zone,
             replica,
@@ -103,7 +103,7 @@
         if self.role.running is not None:
             membership = self.role.running.core.membership
             known |= set(membership.addresses.values())
-        return sorted(known - {self.settings.reachable})
+        return sorted(known - {self.settings.advertised_address})
 
     async def _announce_to(self, address: str) -> None:
         self.busy.add(address)
@@ -144,7 +144,7 @@
     def fresh_addresses(self) -> list[str]:
         """Returns the addresses of the hosts heard lately, and ours."""
         now = time.monotonic()
-        return [self.settings.reachable] + [
+        return [self.settings.advertised_address] + [
             address
             for address, at in self.seen_at.items()
             if now - at < FORGET_SECONDS
@@ -209,7 +209,7 @@
     async def _take_in(
         self, address: str, cluster: str, membership: Membership
     ) -> None:
-        if address == self.settings.reachable:
+        if address == self.settings.advertised_address:
             self.role.initialise(cluster, membership)
             return
         told = await self.client.call(
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -114,7 +114,7 @@
         if self.running is not None:
             core = self.running.core
             if core.role is RaftRole.LEADER:
-                return self.settings.reachable
+                return self.settings.advertised_address
             address = core.membership.addresses.get(core.leader)
             if address:
                 return address
@@ -141,7 +141,11 @@
         self.running = ControlNode(
             self.storage,
             stored,
-            PeerLinks(self.app.client, self.app.tasks, self.settings.reachable),
+            PeerLinks(
+                self.app.client,
+                self.app.tasks,
+                self.settings.advertised_address,
+            ),
             self.app.metrics,
             self.settings.snapshot_every,
         )
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -207,7 +207,7 @@
         while True:
             leader = self.role.leader_address()
             done: Result = Err(no_quorum())
-            if leader == self.settings.reachable:
+            if leader == self.settings.advertised_address:
                 done = await here(message)
             elif leader:
                 done = await self.client.call(
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -246,7 +246,7 @@
     key = request.headers.get(IDEMPOTENCY_HEADER, "").strip()
     if not key:
         raise_failure(
-            Kind.KEY_REQUIRED,
+            Kind.IDEMPOTENCY_KEY_REQUIRED,
             "this call runs at most once, so it needs an Idempotency-Key "
             "header: a new value for a new call, the same for a resend",
         )
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -91,7 +91,7 @@
 
 def _raise_in_progress() -> None:
     raise_failure(
-        Kind.IN_PROGRESS,
+        Kind.CALL_IN_PROGRESS,
         "this call was started before and has no stored answer yet; it is "
         "not started again. Ask with the same Idempotency-Key later; if "
         "this stays, look at the service itself",
@@ -104,7 +104,7 @@
     if answer is None or answer.body is None:
         raise FleetError(
             failure(
-                Kind.CALL_UNKNOWN,
+                Kind.CALL_OUTCOME_UNKNOWN,
                 "this call ran and ended, but its answer was too large to be "
                 "stored; look at the service itself",
                 Outcome.COMPLETE,
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -321,7 +321,7 @@
             view.last_full_offer_at = time.monotonic()
         message = OfferMessage(
             self.app.incarnation,
-            self.app.settings.reachable,
+            self.app.settings.advertised_address,
             self.app.settings.zone,
             self.service,
             view.sequence,
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -38,14 +38,14 @@
     Outcome,
     failure,
 )
-from marjoramyard.kernel.ids import AttemptId, new_attempt
+from marjoramyard.kernel.ids import AttemptId, new_attempt_id
 
 _PASSING_REFUSALS = frozenset(
     {Kind.BUSY, Kind.LEAVING, Kind.NO_ENDPOINT, Kind.NO_LEASE, Kind.NOT_FOUND}
 )
 """Refusals of one agent that say nothing of the next."""
 _RETRYABLE = frozenset(
-    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.ANSWER_CUT}
+    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.RESPONSE_TRUNCATED}
 )
 
 
@@ -221,7 +221,7 @@
         self, request: CallerRequest, placement: Placement
     ) -> RunRequest:
         return RunRequest(
-            new_attempt(),
+            new_attempt_id(),
             request.workspace_id,
             request.service_id,
             request.http.method,
@@ -248,7 +248,7 @@
         placement: Placement,
     ) -> None:
         """Lets the request go on to another agent, or ends it."""
-        if reason.kind is Kind.HELD_APART:
+        if reason.kind is Kind.SUSPECT_HELD:
             # It steps aside for a moment. Queued, it would be granted slot
             # after slot that it can't use, while others wait for them.
             request.suspect = True
@@ -359,7 +359,7 @@
 
 def _stalled() -> Failure:
     return failure(
-        Kind.ANSWER_CUT,
+        Kind.RESPONSE_TRUNCATED,
         "the caller took no bytes for too long",
         Outcome.UNKNOWN,
     )
@@ -367,7 +367,7 @@
 
 def _budget_spent(reason: Failure) -> Failure:
     return failure(
-        Kind.RETRIES_SPENT,
+        Kind.RETRY_BUDGET_EXHAUSTED,
         f"{reason.message}; too many requests are being retried already",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -59,7 +59,11 @@
             else:
                 await self._data(frame.data)
         raise ResponseFailedError(
-            failure(Kind.ANSWER_CUT, "the answer had no end", Outcome.UNKNOWN)
+            failure(
+                Kind.RESPONSE_TRUNCATED,
+                "the answer had no end",
+                Outcome.UNKNOWN,
+            )
         )
 
     async def _begin(self) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -67,7 +67,7 @@
             self.app.incarnation,
             "entry",
             settings.zone,
-            settings.reachable,
+            settings.advertised_address,
             state="leaving" if self.leaving else "ready",
         )
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/following.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/following.py
@@ -9,7 +9,7 @@
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.syncing import SyncReply, SyncRequest
 from marjoramyard.kernel.logs import get_logger
-from marjoramyard.kernel.util.clocks import boot_seconds
+from marjoramyard.kernel.util.clocks import seconds_since_boot
 
 logger = get_logger(__name__)
 
@@ -58,7 +58,7 @@
     async def _follow(self, address: str) -> None:
         epoch, cursor, failures = "", 0, 0
         while failures < GONE_AFTER_FAILURES or address in self.wanted():
-            sent_at = boot_seconds()
+            sent_at = seconds_since_boot()
             asked = SyncRequest(
                 str(self.app.incarnation),
                 self.view.version,
@@ -66,7 +66,7 @@
                 cursor,
                 WAIT_SECONDS if epoch else 0.0,
                 self.settings.name,
-                self.settings.reachable,
+                self.settings.advertised_address,
                 self._spare_capacity(),
             )
             told = await self.app.client.call(
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -17,7 +17,7 @@
 from marjoramyard.fleet.gateway.dialect import GatewayDialect
 from marjoramyard.fleet.syncing import SyncReply
 from marjoramyard.kernel.logs import get_logger
-from marjoramyard.kernel.util.clocks import boot_seconds
+from marjoramyard.kernel.util.clocks import seconds_since_boot
 
 logger = get_logger(__name__)
 
@@ -66,7 +66,7 @@
 
     def lease_holds(self) -> bool:
         """Whether keys may still be taken for good."""
-        return self.lease.holds(boot_seconds())
+        return self.lease.holds(seconds_since_boot())
 
     def take(self, source: str, reply: SyncReply, sent_at: float) -> None:
         """Takes in a control host's answer.
--- a/packages/fleet/tests/agent/test_attempt_service.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -122,7 +122,7 @@
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, SimpleNamespace(), control)
     assert await guard.hold("one") is None
-    assert (await guard.hold("two")).kind is Kind.HELD_APART
+    assert (await guard.hold("two")).kind is Kind.SUSPECT_HELD
 
 
 async def test_a_suspect_that_runs_elsewhere_waits():
@@ -130,7 +130,7 @@
     membership = SimpleNamespace(is_convicted=lambda _: None)
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, membership, control)
-    assert (await guard.hold("one")).kind is Kind.HELD_APART
+    assert (await guard.hold("one")).kind is Kind.SUSPECT_HELD
     assert guard.held is None
 
 
--- a/packages/fleet/tests/entry/test_admission.py
+++ b/packages/fleet/tests/entry/test_admission.py
@@ -84,7 +84,7 @@
     admission, _ = make()
     path = "/services/shop/anything"
     assert await refused(admission, request(Body([]), path)) is (
-        Kind.KEY_REQUIRED
+        Kind.IDEMPOTENCY_KEY_REQUIRED
     )
     asked = request(Body([b"{}"]), path, Idempotency_Key="k")
     admitted = await admission.admit(asked)
--- a/packages/fleet/tests/gateway/test_serving.py
+++ b/packages/fleet/tests/gateway/test_serving.py
@@ -19,7 +19,7 @@
 from marjoramyard.fleet.gateway.serving import Dispatcher
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.metrics import Metrics
-from marjoramyard.kernel.util.clocks import boot_seconds
+from marjoramyard.kernel.util.clocks import seconds_since_boot
 
 CONFIG = FleetConfig(
     1,
@@ -43,7 +43,7 @@
 def dispatcher():
     view = FleetView(GATEWAY_DIALECTS.get("native"), 60.0)
     view.table = RouteTable(CONFIG)
-    view.lease.renewed(boot_seconds(), 60.0)
+    view.lease.renewed(seconds_since_boot(), 60.0)
     metrics = Metrics("gateway", "g0")
     app = SimpleNamespace(
         metrics=metrics,
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -168,9 +168,9 @@
 def test_an_agent_passes_no_order_before_it_knows_the_newest():
     """It was restarted with no memory and is handed an old order."""
     guard = FencingGuard()
-    assert guard.admit(3).kind is Kind.STALE_ORDER
+    assert guard.admit(3).kind is Kind.STALE_FENCING_NUMBER
     guard.learn(5)
-    assert guard.admit(4).kind is Kind.STALE_ORDER
+    assert guard.admit(4).kind is Kind.STALE_FENCING_NUMBER
     assert guard.admit(5) is None
 
 
--- a/packages/kernel/src/marjoramyard/kernel/ids.py
+++ b/packages/kernel/src/marjoramyard/kernel/ids.py
@@ -24,6 +24,6 @@
     return Incarnation(f"{name}~{secrets.token_hex(_SUFFIX_BYTES)}")
 
 
-def new_attempt() -> AttemptId:
+def new_attempt_id() -> AttemptId:
     """Returns an id that no other attempt of any request has."""
     return AttemptId(secrets.token_hex(12))
--- a/packages/kernel/src/marjoramyard/kernel/metrics.py
+++ b/packages/kernel/src/marjoramyard/kernel/metrics.py
@@ -105,7 +105,7 @@
             f"marjoramyard_{name}", callbacks=[observe]
         )
 
-    def page(self) -> bytes:
+    def prometheus_text(self) -> bytes:
         """Returns the Prometheus text page."""
         return generate_latest(REGISTRY)
 
--- a/packages/kernel/src/marjoramyard/kernel/settings.py
+++ b/packages/kernel/src/marjoramyard/kernel/settings.py
@@ -57,11 +57,11 @@
     """The keys whose new values a running process takes over."""
 
     @property
-    def reachable(self) -> str:
+    def advertised_address(self) -> str:
         """The address that other processes are told."""
         return self.advertised or self.internal
 
-    def take_over(self, newer: "RoleSettings") -> list[str]:
+    def apply_changes(self, newer: "RoleSettings") -> list[str]:
         """Takes what may change in a running process; returns its keys.
 
         Addresses and folders stay as they are until a restart.
--- a/packages/kernel/src/marjoramyard/kernel/util/clocks.py
+++ b/packages/kernel/src/marjoramyard/kernel/util/clocks.py
@@ -3,7 +3,7 @@
 import time
 
 
-def boot_seconds() -> float:
+def seconds_since_boot() -> float:
     """Returns seconds on the clock that goes on while a host is suspended.
 
     The steady clock stands still meanwhile. A lease measured on that one
--- a/packages/kernel/tests/test_metrics.py
+++ b/packages/kernel/tests/test_metrics.py
@@ -9,7 +9,7 @@
     metrics.count("requests", 2, outcome="complete")
     metrics.gauge("waiting", lambda: [(7, {"service": "chat"})])
     metrics.observe("request_seconds", 0.05, request_class="interactive")
-    page = metrics.page().decode()
+    page = metrics.prometheus_text().decode()
     metrics.close()
     assert "marjoramyard_requests_total{" in page
     assert 'outcome="complete"} 3.0' in page
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_control_api.py
@@ -13,12 +13,12 @@
 from marjoramyard.coordination.routing.config import RequestKind
 from marjoramyard.fleet.syncing import StoredConfig
 from marjoramyard.kernel.errors import Kind, failure
-from marjoramyard.platform.callers import HEADERS
 from marjoramyard.platform.configurations import (
     check_configuration,
     read_configuration,
 )
-from marjoramyard.platform.operators import platform_routes, read_heartbeat
+from marjoramyard.platform.control_api import platform_routes, read_heartbeat
+from marjoramyard.platform.gateway_dialect import HEADERS
 
 HEARTBEAT = {
     "service": "huvo11a",
