--- a/packages/fleet/tests/test_daemon_command.py
+++ b/packages/fleet/tests/test_daemon_command.py
@@ -22,7 +22,7 @@
     for command in ("check", "run"):
         result = CliRunner().invoke(main, [command, str(path)])
         assert result.exit_code == EXIT_SETTINGS
-        assert "remove it or mend its name" in result.output
+        assert "remove it or correct its name" in result.output
         assert len(result.output.splitlines()) == 1
 
 
--- a/packages/kernel/src/marjoramyard/kernel/__init__.py
+++ b/packages/kernel/src/marjoramyard/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The kernel: ids, errors, registries, settings, logs and metrics."""
+"""Foundation: ids, errors, registries, settings, logs and metrics."""
--- a/packages/kernel/src/marjoramyard/kernel/errors.py
+++ b/packages/kernel/src/marjoramyard/kernel/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures: each kind has an outcome, a status and a remedy."""
+"""Typed failures: error codes, HTTP statuses and request outcomes."""
 
 from enum import Enum
 
@@ -6,7 +6,11 @@
 
 
 class Outcome(Enum):
-    """What a caller is told about its request; there are exactly three."""
+    """The outcome of a request, as reported to its caller.
+
+    `NOT_RUN` guarantees that nothing was executed; after `UNKNOWN` the
+    request may have been executed.
+    """
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -14,7 +18,7 @@
 
 
 class Kind(Enum):
-    """The kinds of failure, with the HTTP status that carries each."""
+    """The kinds of failure: the error code and the HTTP status of each."""
 
     MISSING_KEY = ("missing_api_key", 401)
     UNKNOWN_KEY = ("unknown_api_key", 401)
@@ -55,12 +59,12 @@
 
     @property
     def code(self) -> str:
-        """The name that callers see."""
+        """The error code in responses."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status of the response."""
         return self.value[1]
 
 
@@ -68,15 +72,16 @@
 
 
 class Failure(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One failure as it travels: between processes and to callers.
+    """A failure as it is sent between processes and to callers.
 
     Attributes:
         code: The `Kind.code`.
         message: What happened and what to do about it.
-        outcome: The `Outcome` value of the request it ended.
-        retry_after: Seconds after which coming back helps, if it does.
-        leader: Where the control leader listens, if the failure is that
-            this host is not it.
+        outcome: The `Outcome` value of the request.
+        retry_after: Seconds to wait before a retry; None if a retry won't
+            help.
+        leader: The address of the control leader, if the request was
+            refused because this host is not the leader.
     """
 
     code: str
@@ -87,7 +92,7 @@
 
     @property
     def kind(self) -> Kind:
-        """The typed kind; a code of a newer release reads as internal."""
+        """The kind; `INTERNAL` for a code that this release doesn't know."""
         return KIND_BY_CODE.get(self.code, Kind.INTERNAL)
 
 
@@ -97,12 +102,12 @@
     outcome: Outcome = Outcome.NOT_RUN,
     retry_after: float | None = None,
 ) -> Failure:
-    """Builds a failure of a typed kind."""
+    """Builds a `Failure` of the given kind."""
     return Failure(kind.code, message, outcome.value, retry_after)
 
 
 class FleetError(Exception):
-    """A failure raised through layers that have nothing to add to it."""
+    """An exception that carries a `Failure`."""
 
     def __init__(self, reason: Failure):
         super().__init__(f"{reason.code}: {reason.message}")
--- a/packages/kernel/src/marjoramyard/kernel/ids.py
+++ b/packages/kernel/src/marjoramyard/kernel/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that the whole fleet shares."""
+"""Types of identifiers used throughout the fleet."""
 
 import secrets
 from typing import NewType
@@ -8,9 +8,9 @@
 HostName = NewType("HostName", str)
 Zone = NewType("Zone", str)
 ReplicaId = NewType("ReplicaId", str)
-"""One life of a control host's data folder; a wiped disk gets a new one."""
+"""A control host's data folder; a replaced or wiped disk gets a new id."""
 Incarnation = NewType("Incarnation", str)
-"""One life of a process: the host name and a random suffix."""
+"""One run of a process: the host name and a random suffix."""
 AttemptId = NewType("AttemptId", str)
 ChangeId = NewType("ChangeId", str)
 Fingerprint = NewType("Fingerprint", str)
@@ -20,10 +20,10 @@
 
 
 def new_incarnation(name: str) -> Incarnation:
-    """Returns an id for one life of the process called `name`."""
+    """Returns a unique id for the current run of the process `name`."""
     return Incarnation(f"{name}~{secrets.token_hex(_SUFFIX_BYTES)}")
 
 
 def new_attempt_id() -> AttemptId:
-    """Returns an id that no other attempt of any request has."""
+    """Returns an attempt id that is unique across all requests."""
     return AttemptId(secrets.token_hex(12))
--- a/packages/kernel/src/marjoramyard/kernel/logs.py
+++ b/packages/kernel/src/marjoramyard/kernel/logs.py
@@ -1,4 +1,4 @@
-"""structlog set up for a daemon: bounded, and never waiting for a reader."""
+"""structlog configuration for a daemon: non-blocking and rate-limited."""
 
 import logging
 import os
@@ -15,42 +15,41 @@
 from marjoramyard.kernel.settings import LogSettings
 
 LINES_PER_SECOND = 200.0
-"""For each kind of line; several times what a gateway usually writes."""
+"""Rate limit for each event name."""
 FAILURE_LINES_PER_SECOND = 400.0
-"""Failures have a budget of their own, so that successes never crowd them
-out."""
-PENDING_BYTES = 256 << 10
-"""What is kept for a reader that is behind: some seconds' worth of lines."""
-FAILED_STATUS = 400
-MAX_MESSAGE = 300
-"""Characters of a library's message or error in a line."""
-STDOUT = 1
-"""The descriptor, not `sys.stdout`, which buffers and may block."""
+"""Rate limit for the failures of each event name, separate from successes."""
+MAX_PENDING_BYTES = 256 << 10
+"""Size of the buffer for a slow reader."""
+MIN_FAILED_STATUS = 400
+"""The lowest HTTP status that counts as a failure."""
+MAX_MESSAGE_CHARS = 300
+"""Longer messages and errors of libraries are truncated."""
+STDOUT_FD = 1
+"""Written directly, because `sys.stdout` buffers and may block."""
 
 Event = MutableMapping[str, Any]
 
 
 class LineSink:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    A pipe whose reader has stopped takes 64 KB and then blocks whoever
-    writes; with one loop on one thread that would stop all service. Lines
-    that find no room are dropped and counted.
+    A write to a full pipe would block the event loop. Lines that don't fit
+    the buffer are dropped and counted.
     """
 
-    def __init__(self, descriptor: int, limit: int = PENDING_BYTES):
+    def __init__(self, descriptor: int, limit: int = MAX_PENDING_BYTES):
         self.descriptor = descriptor
         self.limit = limit
         self.pending = bytearray()
         self.dropped = 0
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
-            # A terminal's mode would be shared with the shell; a file never
-            # makes its writer wait for a reader.
+            # Not for terminals, which share the flag with the shell, and
+            # not for files, whose writes have no reader to wait for.
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Writes a line, or drops it if too much is pending."""
+        """Writes a line, or drops it if the buffer is full."""
         line = text.encode("utf-8", "replace") + b"\n"
         if len(self.pending) + len(line) > self.limit:
             self.flush()
@@ -65,7 +64,7 @@
     exception = fatal = write
 
     def flush(self) -> None:
-        """Writes what the reader has room for."""
+        """Writes as much of the buffer as the descriptor accepts."""
         try:
             while self.pending:
                 written = os.write(self.descriptor, self.pending)
@@ -73,59 +72,63 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is nowhere to report it to.
+            # The reader is gone; there is nowhere to report this.
             self.dropped += self.pending.count(b"\n")
             self.pending.clear()
 
 
-class VolumeCap:
-    """Bounds the lines of each kind a second; says how many it left out."""
+class LogRateLimiter:
+    """A structlog processor that limits the lines per second of each event.
+
+    Each event name has two token buckets, one for failures and one for all
+    other lines. The first line after omitted ones has their number in
+    `lines_omitted_before`.
+    """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
         self.clock = clock
-        self.allowance: dict[str, tuple[float, float]] = {}
+        self.buckets: dict[str, tuple[float, float]] = {}
         self.omitted: dict[str, int] = {}
 
     def __call__(self, _: Any, method: str, event: Event) -> Event:
-        """Lets a line pass, with what was left out before it, or drops it.
+        """Returns the event, or drops it.
 
         Raises:
-            structlog.DropEvent: Its kind has used up its lines.
+            structlog.DropEvent: The rate limit is exceeded.
         """
-        kind, rate = self._budget(method, event)
+        bucket, rate = self._bucket(method, event)
         now = self.clock()
-        left, at = self.allowance.get(kind, (rate, now))
-        left = min(rate, left + (now - at) * rate)
-        if left < 1.0:
-            self.allowance[kind] = (left, now)
-            self.omitted[kind] = self.omitted.get(kind, 0) + 1
+        tokens, updated_at = self.buckets.get(bucket, (rate, now))
+        tokens = min(rate, tokens + (now - updated_at) * rate)
+        if tokens < 1.0:
+            self.buckets[bucket] = (tokens, now)
+            self.omitted[bucket] = self.omitted.get(bucket, 0) + 1
             raise structlog.DropEvent
-        self.allowance[kind] = (left - 1.0, now)
-        omitted = self.omitted.pop(kind, 0)
+        self.buckets[bucket] = (tokens - 1.0, now)
+        omitted = self.omitted.pop(bucket, 0)
         if omitted:
             event["lines_omitted_before"] = omitted
         return event
 
     @staticmethod
-    def _budget(method: str, event: Event) -> tuple[str, float]:
+    def _bucket(method: str, event: Event) -> tuple[str, float]:
+        """Returns the name and the rate of the bucket for an event."""
         status = event.get("status")
-        failed = status is not None and not 0 < status < FAILED_STATUS
+        failed = status is not None and not 0 < status < MIN_FAILED_STATUS
         if failed or method not in ("debug", "info"):
             return f"{event.get('event')}!", FAILURE_LINES_PER_SECOND
         return str(event.get("event")), LINES_PER_SECOND
 
 
-class LibraryHandler(logging.Handler):
-    """Turns the records of libraries into our own lines.
+class StandardLoggingHandler(logging.Handler):
+    """Passes records of the standard `logging` module to structlog.
 
-    A library writes a traceback of dozens of lines for each connection that
-    breaks; at a host's death that is a flood which no reader of structured
-    logs can use, and it is not bounded. The error and its last place say
-    what there is to know.
+    A record becomes one line with the error and its innermost frame instead
+    of a traceback, and the rate limit applies to it.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record as one line."""
+        """Logs a record as one line."""
         error = record.exc_info[1] if record.exc_info else None
         logger = get_logger(record.name)
         method = (
@@ -133,13 +136,13 @@
         )
         method(
             "library",
-            message=record.getMessage()[:MAX_MESSAGE],
-            error=repr(error)[:MAX_MESSAGE] if error else None,
-            at=_last_place(error),
+            message=record.getMessage()[:MAX_MESSAGE_CHARS],
+            error=repr(error)[:MAX_MESSAGE_CHARS] if error else None,
+            at=_innermost_frame(error),
         )
 
 
-def _last_place(error: BaseException | None) -> str | None:
+def _innermost_frame(error: BaseException | None) -> str | None:
     if error is None or error.__traceback__ is None:
         return None
     frame = traceback.extract_tb(error.__traceback__)[-1]
@@ -149,30 +152,38 @@
 def _log_uncaught(kind, error, trace) -> None:
     get_logger(__name__).critical(
         "uncaught",
-        error=repr(error)[:MAX_MESSAGE],
-        at=_last_place(error),
+        error=repr(error)[:MAX_MESSAGE_CHARS],
+        at=_innermost_frame(error),
     )
 
 
-def _take_over_libraries(level: int) -> None:
+def _redirect_standard_logging(level: int) -> None:
     root = logging.getLogger()
-    root.handlers[:] = [LibraryHandler()]
+    root.handlers[:] = [StandardLoggingHandler()]
     root.setLevel(max(level, logging.WARNING))
     logging.captureWarnings(True)
     sys.excepthook = _log_uncaught
 
 
 def configure_logs(settings: LogSettings, **context: str) -> LineSink:
-    """Sets the format and level, and what each line says of the process."""
+    """Configures structlog, `logging`, warnings and uncaught exceptions.
+
+    Args:
+        settings: Format and level.
+        **context: Fields added to each line, such as role and name.
+
+    Returns:
+        The sink that writes to standard output.
+    """
     level = logging.getLevelNamesMapping().get(settings.level.upper(), 20)
     if settings.format == "json":
         renderer = structlog.processors.JSONRenderer()
     else:
         renderer = structlog.dev.ConsoleRenderer(colors=False)
-    sink = LineSink(STDOUT)
+    sink = LineSink(STDOUT_FD)
     structlog.configure(
         processors=[
-            VolumeCap(),
+            LogRateLimiter(),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -184,10 +195,10 @@
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(**context)
-    _take_over_libraries(level)
+    _redirect_standard_logging(level)
     return sink
 
 
 def get_logger(name: str) -> structlog.stdlib.BoundLogger:
-    """Returns a logger that says which module speaks."""
+    """Returns a logger whose lines have the module name in `module`."""
     return structlog.get_logger(module=name)
--- a/packages/kernel/src/marjoramyard/kernel/metrics.py
+++ b/packages/kernel/src/marjoramyard/kernel/metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry metrics with a Prometheus page."""
+"""OpenTelemetry metrics in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,37 +13,39 @@
 from prometheus_client import REGISTRY, generate_latest
 
 LATENCY_BUCKETS = (0.005, 0.02, 0.066, 0.2, 0.5, 1.0, 1.8, 5.0, 20.0, 60.0)
-"""Seconds; 0.066 and 1.8 are the users' aims between and before tokens."""
+"""Upper bounds of the histogram buckets, in seconds. The objectives for the
+time between tokens (0.066) and the time to first token (1.8) are among them."""
 
 WORKSPACE_LABEL_CAP = 50
+"""Number of workspaces with a label value of their own."""
 OTHER_WORKSPACES = "(other)"
 
 Labels = dict[str, str]
 
 
 class LabelCap:
-    """Gives the first workspaces their own label and the rest one.
+    """Bounds the number of distinct workspace labels.
 
-    A histogram for each of 24,000 workspaces would not fit 64 MB; a cap on
-    the labels bounds the memory whatever the bundle holds.
+    The first `cap` workspaces get a label each; all others share one. This
+    bounds the memory of labelled metrics for any number of workspaces.
     """
 
     def __init__(self, cap: int = WORKSPACE_LABEL_CAP):
         self.cap = cap
-        self.known: set[str] = set()
+        self.labelled: set[str] = set()
 
     def label(self, workspace: str) -> str:
-        """Returns the label under which `workspace` is counted."""
-        if workspace in self.known:
+        """Returns the label value for `workspace`."""
+        if workspace in self.labelled:
             return workspace
-        if len(self.known) < self.cap:
-            self.known.add(workspace)
+        if len(self.labelled) < self.cap:
+            self.labelled.add(workspace)
             return workspace
         return OTHER_WORKSPACES
 
 
 class Metrics:
-    """The instruments of one process, made on first use."""
+    """The metrics of one process; instruments are created on first use."""
 
     def __init__(self, role: str, name: str):
         view = View(
@@ -63,10 +65,10 @@
         self.counts: dict[str, dict[tuple, float]] = {}
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Adds to the counter called `name`.
+        """Adds `amount` to the counter `name`.
 
-        Counts are kept here and read at each scrape: an instrument's own
-        `add` costs ten times as much, several times a request.
+        Counts are kept in a dict and read at each scrape, because `add` of
+        an OpenTelemetry counter is too slow for every request.
         """
         counts = self.counts.get(name)
         if counts is None:
@@ -86,7 +88,7 @@
         )
 
     def observe(self, name: str, value: float, **labels: str) -> None:
-        """Records a value in the histogram called `name`."""
+        """Records a value in the histogram `name`."""
         histogram = self.instruments.get(name)
         if histogram is None:
             histogram = self.meter.create_histogram(f"marjoramyard_{name}")
@@ -96,7 +98,7 @@
     def gauge(
         self, name: str, read: Callable[[], Iterable[tuple[float, Labels]]]
     ) -> None:
-        """Reads values at each scrape, so that a gauge costs nothing idle."""
+        """Registers a gauge whose values are read by `read` at each scrape."""
 
         def observe(_: CallbackOptions) -> list[Observation]:
             return [Observation(value, labels) for value, labels in read()]
@@ -106,9 +108,9 @@
         )
 
     def prometheus_text(self) -> bytes:
-        """Returns the Prometheus text page."""
+        """Returns all metrics in the Prometheus text format."""
         return generate_latest(REGISTRY)
 
     def close(self) -> None:
-        """Unregisters the reader, so that another may be made."""
+        """Shuts the provider down and unregisters its Prometheus reader."""
         self.provider.shutdown()
--- a/packages/kernel/src/marjoramyard/kernel/registry.py
+++ b/packages/kernel/src/marjoramyard/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries of named plug-ins, filled by decorators."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -7,14 +7,23 @@
 
 
 class Registry(Generic[T]):
-    """Named behaviours of one sort; plug-ins add theirs on import."""
+    """Named items of one type; plug-in modules register theirs on import.
+
+    Attributes:
+        subject: What the items are, for error messages.
+        items: The items by name.
+    """
 
     def __init__(self, subject: str):
         self.subject = subject
         self.items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that files its argument under `name`."""
+        """Returns a decorator that registers its argument under `name`.
+
+        Raises:
+            ValueError: On use, if the name is registered already.
+        """
 
         def add(item: T) -> T:
             if name in self.items:
@@ -30,7 +39,7 @@
         """Returns the item called `name`.
 
         Raises:
-            KeyError: No such item; the message lists those there are.
+            KeyError: No such item; the message lists the known names.
         """
         try:
             return self.items[name]
--- a/packages/kernel/src/marjoramyard/kernel/settings.py
+++ b/packages/kernel/src/marjoramyard/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Settings files: YAML checked against declared types and defaults."""
+"""Settings files: YAML validated against typed structs with defaults."""
 
 import re
 from pathlib import Path
@@ -12,32 +12,38 @@
 from marjoramyard.kernel.util.addresses import parse_address
 
 ROLE_SETTINGS: Registry[type["RoleSettings"]] = Registry("role")
-"""The settings type of each role; role plug-ins fill it."""
+"""The settings type of each role, registered by the role plug-ins."""
 
 
 class LogSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """How the process logs."""
+    """Log settings.
+
+    Attributes:
+        format: `json` for JSON lines; any other value for readable lines.
+        level: The lowest level that is logged.
+    """
 
     format: str = "console"
     level: str = "info"
 
 
 class RoleSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What every role's settings file says.
+    """Settings common to all roles.
 
     Attributes:
-        role: The plug-in that the process runs.
+        role: The role that the process runs, as registered by a plug-in.
         name: The host name, unique in the fleet.
-        zone: The availability zone the host stands in.
-        internal: Address for other processes of the fleet.
+        zone: The availability zone of the host.
+        internal: Listening address for other processes of the fleet.
         control_hosts: Internal addresses of the control hosts.
-        secret_file: File with the secret that the fleet's processes share.
-        drain_seconds: How long a graceful shutdown may take.
+        secret_file: File with the secret shared by the fleet's processes.
+        log: Log format and level.
+        drain_seconds: Maximum duration of a graceful shutdown, in seconds.
         region: The region of the zone.
-        advertised: Where others reach `internal`, if not there itself.
-        trust_network: Processes of the fleet know each other by address
-            only; for networks that nobody else can reach.
-        extensions: Modules that register more, by their dotted names.
+        advertised: Address at which others reach `internal`, if it differs.
+        trust_network: Whether processes of the fleet accept each other's
+            calls without the shared secret; only for isolated networks.
+        extensions: Dotted names of modules with further plug-ins.
     """
 
     role: str
@@ -54,17 +60,17 @@
     extensions: list[str] = []
 
     changeable: ClassVar[tuple[str, ...]] = ()
-    """The keys whose new values a running process takes over."""
+    """The keys that can change without a restart."""
 
     @property
     def advertised_address(self) -> str:
-        """The address that other processes are told."""
+        """The address at which other processes reach this one."""
         return self.advertised or self.internal
 
     def apply_changes(self, newer: "RoleSettings") -> list[str]:
-        """Takes what may change in a running process; returns its keys.
+        """Applies the changeable keys of `newer`; returns the changed ones.
 
-        Addresses and folders stay as they are until a restart.
+        All other settings, such as addresses and folders, need a restart.
         """
         changed = [
             key
@@ -76,39 +82,42 @@
         return changed
 
     def addresses(self) -> dict[str, str]:
-        """Returns each setting that must be an address, by its key."""
-        found = {"internal": self.internal}
+        """Returns the settings that must be valid addresses, by key."""
+        addresses = {"internal": self.internal}
         if self.advertised:
-            found["advertised"] = self.advertised
-        for place, text in enumerate(self.control_hosts):
-            found[f"control_hosts[{place}]"] = text
-        return found
+            addresses["advertised"] = self.advertised
+        for index, text in enumerate(self.control_hosts):
+            addresses[f"control_hosts[{index}]"] = text
+        return addresses
 
     def problems(self) -> list[str]:
-        """Returns what is wrong beyond types, each naming its key."""
-        found = []
+        """Returns messages on invalid values, each beginning with its key.
+
+        Types are checked before, when the file is decoded.
+        """
+        problems = []
         for key in ("name", "zone"):
             if not getattr(self, key).strip():
-                found.append(f"{key}: must not be empty; give the {key}")
+                problems.append(f"{key}: must not be empty; give the {key}")
         for key, text in self.addresses().items():
             try:
                 parse_address(text)
             except ValueError as error:
-                found.append(f"{key}: {error}")
+                problems.append(f"{key}: {error}")
         if not self.secret_file and not self.trust_network:
-            found.append(
+            problems.append(
                 "secret_file: name the file with the fleet's secret, or set "
                 "trust_network"
             )
         if not self.control_hosts and not getattr(self, "seeds", None):
-            found.append("control_hosts: name at least one control host")
+            problems.append("control_hosts: name at least one control host")
         if self.drain_seconds <= 0:
-            found.append("drain_seconds: must be above 0")
-        return found
+            problems.append("drain_seconds: must be above 0")
+        return problems
 
 
 def _line_of(text: str, path: str) -> int | None:
-    """Returns the line on which the value at `path` stands, if it does."""
+    """Returns the line of the value at `path`, or of its nearest parent."""
     node = yaml.compose(text)
     line = None
     for part in re.findall(r"[^.$\[\]]+", path):
@@ -132,28 +141,33 @@
 
 
 def _explain(error: msgspec.ValidationError) -> tuple[str, str]:
-    """Returns a clear message with a remedy, and the path it is about."""
+    """Returns a message with a remedy, and the path of the value."""
     message = str(error)
-    found = re.search(r" - at `(.+?)`", message)
-    path = found.group(1) if found else "$"
+    location = re.search(r" - at `(.+?)`", message)
+    path = location.group(1) if location else "$"
     message = re.sub(r" - at `.+?`", "", message)
     unknown = re.search(r"unknown field `(.+?)`", message)
     missing = re.search(r"missing required field `(.+?)`", message)
     if unknown:
         path = f"{path}.{unknown.group(1)}"
-        return f"unknown key {path[2:]!r}; remove it or mend its name", path
+        return f"unknown key {path[2:]!r}; remove it or correct its name", path
     if missing:
         key = f"{path}.{missing.group(1)}"
         return f"missing key {key[2:]!r}; add it", path
-    return f"key {path[2:]!r}: {message}; mend the value", path
+    return f"key {path[2:]!r}: {message}; correct the value", path
 
 
 def parse_settings(source: str, text: str) -> Result[RoleSettings, str]:
-    """Checks one settings text; the error names key, line and remedy."""
+    """Parses and validates settings; errors name key, line and remedy.
+
+    Args:
+        source: The file name, for error messages.
+        text: The YAML text.
+    """
     try:
         raw: Any = yaml.safe_load(text)
     except yaml.YAMLError as error:
-        return Err(f"{source}: not valid YAML; mend it: {error}")
+        return Err(f"{source}: not valid YAML; correct it: {error}")
     if not isinstance(raw, dict):
         return Err(f"{source}: must be a mapping of keys to values")
     role = raw.get("role")
@@ -174,11 +188,14 @@
 
 
 def load_settings(path: Path) -> Result[RoleSettings, str]:
-    """Reads and checks a settings file; its paths are beside the file."""
+    """Reads and validates a settings file.
+
+    Relative paths in it are relative to the folder of the file.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        return Err(f"{path}: can't be read; {error.strerror}")
+        return Err(f"{path}: can't be read: {error.strerror}")
     loaded = parse_settings(str(path), text)
     if isinstance(loaded, Ok):
         settings = loaded.ok_value
--- a/packages/kernel/src/marjoramyard/kernel/util/__init__.py
+++ b/packages/kernel/src/marjoramyard/kernel/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers, each module named by its subject."""
+"""Utility modules without dependencies on the rest of the fleet."""
--- a/packages/kernel/src/marjoramyard/kernel/util/addresses.py
+++ b/packages/kernel/src/marjoramyard/kernel/util/addresses.py
@@ -1,4 +1,4 @@
-"""Host and port addresses in settings."""
+"""IP addresses with ports, as written in settings."""
 
 import ipaddress
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -20,7 +20,8 @@
     """Parses `IP:PORT`.
 
     Raises:
-        ValueError: It is not an IP number and a port; says what is.
+        ValueError: The text is not an IP address and a port in range; the
+            message says what to write.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -28,7 +29,7 @@
         number = int(port)
     except ValueError:
         raise ValueError(
-            f"{text!r} is no address; write IP:PORT, such as 127.0.0.1:8080"
+            f"{text!r} is not an address; write IP:PORT, such as 127.0.0.1:8080"
         ) from None
     if not 0 <= number <= _MAX_PORT:
         raise ValueError(f"port {number} is out of range; use 0 to {_MAX_PORT}")
--- a/packages/kernel/src/marjoramyard/kernel/util/clocks.py
+++ b/packages/kernel/src/marjoramyard/kernel/util/clocks.py
@@ -1,12 +1,13 @@
-"""Clocks that promises are kept by."""
+"""Clocks for leases."""
 
 import time
 
 
 def seconds_since_boot() -> float:
-    """Returns seconds on the clock that goes on while a host is suspended.
+    """Returns the seconds since boot, including time spent suspended.
 
-    The steady clock stands still meanwhile. A lease measured on that one
-    would still look valid when the host wakes, long after it has ended.
+    `time.monotonic` doesn't advance while a host is suspended; a lease
+    measured with it would look valid after the host resumes, although it
+    has expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/kernel/tests/test_logs.py
+++ b/packages/kernel/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs stay bounded and never make the process wait."""
+"""Logging is rate-limited and never blocks the process."""
 
 import json
 import os
@@ -8,15 +8,11 @@
 import pytest
 import structlog
 
-from marjoramyard.kernel.logs import LINES_PER_SECOND, LineSink, VolumeCap
+from marjoramyard.kernel.logs import LINES_PER_SECOND, LineSink, LogRateLimiter
 
 
-def test_a_reader_that_stopped_does_not_stop_the_writer():
-    """Callers would get no answers while somebody pauses a log viewer.
-
-    The pipe fills up, lines are dropped and counted, and once the reader
-    goes on, whole lines arrive.
-    """
+def test_a_paused_reader_does_not_block_the_writer():
+    """Guards against a stalled event loop when the log pipe is full."""
     reader, writer = os.pipe()
     sink = LineSink(writer, limit=10_000)
     for number in range(20_000):
@@ -38,7 +34,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_is_gone_raises_nothing():
+def test_a_closed_pipe_raises_nothing():
     reader, writer = os.pipe()
     os.close(reader)
     sink = LineSink(writer)
@@ -47,44 +43,44 @@
     os.close(writer)
 
 
-def test_successes_are_left_out_and_failures_are_not():
+def test_the_rate_limit_of_successes_does_not_apply_to_failures():
     now = 0.0
-    cap = VolumeCap(lambda: now)
+    limiter = LogRateLimiter(lambda: now)
     passed = 0
     for _ in range(1000):
         try:
-            cap(None, "info", {"event": "request", "status": 200})
+            limiter(None, "info", {"event": "request", "status": 200})
             passed += 1
         except structlog.DropEvent:
             pass
     assert passed == LINES_PER_SECOND
     for _ in range(100):
-        cap(None, "info", {"event": "request", "status": 503})
+        limiter(None, "info", {"event": "request", "status": 503})
     now = 1.0
-    line = cap(None, "info", {"event": "request", "status": 200})
+    line = limiter(None, "info", {"event": "request", "status": 200})
     assert line["lines_omitted_before"] == 1000 - LINES_PER_SECOND
 
 
-def test_other_kinds_have_their_own_lines():
-    cap = VolumeCap(lambda: 0.0)
+def test_each_event_name_has_its_own_rate_limit():
+    limiter = LogRateLimiter(lambda: 0.0)
     with pytest.raises(structlog.DropEvent):
         for _ in range(1000):
-            cap(None, "info", {"event": "request", "status": 200})
-    assert cap(None, "info", {"event": "config_in_force"})
+            limiter(None, "info", {"event": "request", "status": 200})
+    assert limiter(None, "info", {"event": "config_in_force"})
 
 
-NOISY = """
+LIBRARY_ERRORS = """
 import asyncio, logging, warnings
 from marjoramyard.kernel.logs import configure_logs
 from marjoramyard.kernel.settings import LogSettings
 
 configure_logs(LogSettings(format="json"), role="test")
 
-async def forgotten():
-    raise ConnectionResetError("forgotten")
+async def not_awaited():
+    raise ConnectionResetError("not awaited")
 
 async def main():
-    task = asyncio.ensure_future(forgotten())
+    task = asyncio.ensure_future(not_awaited())
     await asyncio.sleep(0)
     del task
     asyncio.get_running_loop().call_soon(lambda: 1 / 0)
@@ -94,26 +90,26 @@
     raise OSError("broken " * 200)
 except OSError:
     logging.getLogger("aiohttp.server").exception("Error handling request")
-warnings.warn("old habit")
+warnings.warn("deprecated call")
 asyncio.run(main())
-raise ValueError("nobody caught it")
+raise ValueError("uncaught value")
 """
 
 
-def test_what_libraries_and_the_interpreter_say_is_one_line_each():
-    """An on-call engineer searches the logs and finds tracebacks.
-
-    A host dies; for each of its connections a library writes 25 lines that
-    are no structured records. Tasks that nobody awaits, callbacks that fail,
-    warnings and uncaught errors write such pages too.
-    """
-    ran = subprocess.run(
-        [sys.executable, "-c", NOISY], capture_output=True, text=True
+def test_errors_of_libraries_and_the_interpreter_are_one_line_each():
+    """Guards against multi-line tracebacks among the structured logs."""
+    result = subprocess.run(
+        [sys.executable, "-c", LIBRARY_ERRORS], capture_output=True, text=True
     )
-    assert ran.stderr == ""
-    lines = [json.loads(line) for line in ran.stdout.splitlines()]
+    assert result.stderr == ""
+    lines = [json.loads(line) for line in result.stdout.splitlines()]
     assert all(len(json.dumps(line)) < 1200 for line in lines)
-    told = " ".join(str(line.get("error")) for line in lines)
-    for error in ("OSError", "ZeroDivisionError", "forgotten", "nobody"):
-        assert error in told
-    assert any("old habit" in str(line.get("message")) for line in lines)
+    errors = " ".join(str(line.get("error")) for line in lines)
+    for error in (
+        "OSError",
+        "ZeroDivisionError",
+        "not awaited",
+        "uncaught value",
+    ):
+        assert error in errors
+    assert any("deprecated call" in str(line.get("message")) for line in lines)
--- a/packages/kernel/tests/test_settings.py
+++ b/packages/kernel/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings errors name the key, the line and the remedy."""
+"""Validation of settings; errors name the key, the line and the remedy."""
 
 from pathlib import Path
 
@@ -23,19 +23,19 @@
 
 
 @pytest.mark.parametrize("role", ["control", "entry", "agent"])
-def test_the_annotated_examples_are_good(role):
+def test_the_annotated_examples_are_valid(role):
     loaded = load_settings(ROOT / f"examples/settings/{role}.yaml")
     assert loaded.is_ok(), loaded
     assert loaded.ok().role == role
 
 
 @pytest.mark.parametrize("name", ["teranga", "luzaberta"])
-def test_both_deployments_settings_and_bundles_are_good(name):
+def test_the_example_deployments_are_valid(name):
     folder = ROOT / "examples" / name
     paths = sorted((folder / "settings").glob("*.yaml"))
     loaded = [load_settings(path) for path in paths]
-    assert all(one.is_ok() for one in loaded), loaded
-    names = [one.ok().name for one in loaded]
+    assert all(result.is_ok() for result in loaded), loaded
+    names = [result.ok().name for result in loaded]
     assert len(set(names)) == len(names) >= 14
     bundle = yaml.safe_load((folder / "bundle.yaml").read_text())
     assert parse_bundle(bundle).is_ok()
@@ -57,25 +57,25 @@
         (GOOD, "- 1", ["mapping"]),
     ],
 )
-def test_a_wrong_setting_gets_one_clear_error(old, new, words):
+def test_an_invalid_setting_gives_an_error_with_its_location(old, new, words):
     error = parse_settings("x.yaml", GOOD.replace(old, new)).err()
     for word in words:
         assert word in error, error
     assert "\n" not in error or "YAML" in error
 
 
-def test_a_missing_file_is_named():
+def test_the_error_on_a_missing_file_names_it():
     assert "no-such.yaml" in load_settings(Path("no-such.yaml")).err()
 
 
-def test_files_are_found_beside_the_settings(tmp_path):
+def test_relative_paths_start_at_the_folder_of_the_settings_file(tmp_path):
     path = tmp_path / "x.yaml"
     path.write_text(GOOD)
     loaded = load_settings(path).ok()
     assert loaded.secret_file == str(tmp_path / "secret")
 
 
-def test_a_registry_names_what_it_knows():
+def test_registry_errors_list_the_known_names():
     registry = Registry("colour")
     registry.register("red")("r")
     with pytest.raises(KeyError, match="use one of: red"):
