--- a/packages/ctl/src/marjoramyard/ctl/__init__.py
+++ b/packages/ctl/src/marjoramyard/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The tool of operators and auditors."""
+"""The command-line tool of operators and auditors."""
--- a/packages/ctl/src/marjoramyard/ctl/auditing.py
+++ b/packages/ctl/src/marjoramyard/ctl/auditing.py
@@ -1,4 +1,4 @@
-"""Checks the audit trail: its chain and every signature in it."""
+"""Verification of the audit trail: the hash chain and all signatures."""
 
 from result import Err, Ok, Result
 
@@ -19,18 +19,29 @@
 def verify_trail(
     records: list[AuditRecord], bootstrap: dict[str, str]
 ) -> Result[int, str]:
-    """Checks the chain, then each signature with the key then in force."""
-    chained = verify_chain(records)
-    if isinstance(chained, Err):
-        return chained
+    """Verifies the hash chain, then each signature.
+
+    A signature is verified with the signer's key in the bundle in force at
+    that record, or else with the signer's bootstrap key.
+
+    Args:
+        records: The whole trail.
+        bootstrap: Public keys trusted before the first bundle, by operator.
+
+    Returns:
+        The number of records, or a message on the first invalid one.
+    """
+    chain = verify_chain(records)
+    if isinstance(chain, Err):
+        return chain
     changes = {}
     rows: Rows = {}
-    for place, record in enumerate(records):
+    for index, record in enumerate(records):
         if record.change is not None:
             changes[record.change_id] = Change(**record.change)
         change = changes[record.change_id]
-        known = rows or {}
-        key = _key_of(known, record.who) or bootstrap.get(record.who)
+        in_force = rows or {}
+        key = _key_of(in_force, record.who) or bootstrap.get(record.who)
         if key is None:
             return Err(
                 f"record {record.number}: no key of {record.who} is known; "
@@ -42,11 +53,16 @@
                 f"record {record.number}: the signature is not {record.who}'s"
             )
         if record.action == "roll":
-            rows = rows_at(records[: place + 1], record.version)
+            rows = rows_at(records[: index + 1], record.version)
     return Ok(len(records))
 
 
 def version_at(records: list[AuditRecord], at: float) -> AuditRecord | None:
-    """Returns the record that put in force what held at a moment."""
+    """Returns the record that rolled out the version in force at `at`.
+
+    Args:
+        records: The whole trail.
+        at: Unix time in seconds.
+    """
     rolled = [r for r in records if r.action == "roll" and r.at <= at]
     return rolled[-1] if rolled else None
--- a/packages/ctl/src/marjoramyard/ctl/changes.py
+++ b/packages/ctl/src/marjoramyard/ctl/changes.py
@@ -1,4 +1,4 @@
-"""Makes and signs changes of the bundle."""
+"""Builds changes of the bundle from bundle files and the audit trail."""
 
 import secrets
 from pathlib import Path
@@ -19,19 +19,19 @@
 
 
 def read_bundle_rows(path: Path) -> Rows:
-    """Reads and checks a bundle file, or exits."""
+    """Reads and validates a bundle file; exits if it is invalid."""
     try:
         raw = yaml.safe_load(path.read_text(encoding="utf-8"))
     except (OSError, yaml.YAMLError) as error:
         fail(f"{path}: can't be read: {error}", EXIT_USAGE)
-    checked = parse_bundle(raw)
-    if isinstance(checked, Err):
-        fail(f"{path}: {checked.err_value}", EXIT_USAGE)
-    return to_rows(checked.ok_value)
+    parsed = parse_bundle(raw)
+    if isinstance(parsed, Err):
+        fail(f"{path}: {parsed.err_value}", EXIT_USAGE)
+    return to_rows(parsed.ok_value)
 
 
 def difference(old: Rows, new: Rows) -> tuple[Rows, list[str]]:
-    """Returns the rows to put and the paths to remove."""
+    """Returns the rows to put and the paths to remove from old to new."""
     put = {path: raw for path, raw in new.items() if old.get(path) != raw}
     remove = sorted(path for path in old if path not in new)
     return put, remove
@@ -44,7 +44,15 @@
     note: str,
     restores: int | None = None,
 ) -> Change:
-    """Makes a change that leads from the bundle in force to `rows`."""
+    """Builds the change from the bundle in force to `rows`.
+
+    Args:
+        in_force: The leader's response to the `bundle` query.
+        rows: The rows of the proposed bundle.
+        author: The operator who proposes the change.
+        note: The reason, for auditors.
+        restores: The earlier version that the change restores, if any.
+    """
     put, remove = difference(in_force["rows"], rows)
     return Change(
         secrets.token_hex(8),
@@ -58,10 +66,10 @@
 
 
 def past_rows(trail: list[dict], version: int) -> Rows:
-    """Rebuilds a past version from the audit trail."""
+    """Rebuilds the rows of an earlier version from the audit trail."""
     return rows_at(read_trail(trail), version)
 
 
 def read_trail(trail: list[dict]) -> list[AuditRecord]:
-    """Reads the audit trail as records."""
+    """Converts the leader's `audit` response to records."""
     return msgspec.convert(trail, list[AuditRecord])
--- a/packages/ctl/src/marjoramyard/ctl/cmd/__init__.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines of the tool."""
+"""The commands of `marjoramctl`."""
--- a/packages/ctl/src/marjoramyard/ctl/cmd/audits.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/audits.py
@@ -1,4 +1,4 @@
-"""Commands of auditors."""
+"""The `audit` commands."""
 
 import datetime
 
@@ -10,25 +10,25 @@
 from marjoramyard.ctl.session import EXIT_USAGE, Session, fail
 
 
-def _moment(text: str) -> float:
+def _parse_time(text: str) -> float:
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        time = datetime.datetime.fromisoformat(text)
     except ValueError:
         fail(f"{text!r}: give a time such as 2026-12-03T10:15:00Z", EXIT_USAGE)
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.UTC)
-    return moment.timestamp()
+    if time.tzinfo is None:
+        time = time.replace(tzinfo=datetime.UTC)
+    return time.timestamp()
 
 
-def _time(at: float) -> str:
+def _format_time(at: float) -> str:
     return datetime.datetime.fromtimestamp(at, datetime.UTC).isoformat()
 
 
 @click.group(invoke_without_command=True)
-@click.option("--at", help="Says which version was in force then.")
+@click.option("--at", help="Shows the version in force at this time.")
 @click.pass_context
 def audit(context: click.Context, at: str | None) -> None:
-    """Shows who did what, or what was in force at a moment."""
+    """Shows the audit trail, or the version in force at a given time."""
     if context.invoked_subcommand is not None:
         return
     session: Session = context.obj
@@ -38,7 +38,7 @@
             [
                 {
                     "number": record.number,
-                    "at": _time(record.at),
+                    "at": _format_time(record.at),
                     "action": record.action,
                     "who": record.who,
                     "change_id": record.change_id,
@@ -48,17 +48,17 @@
             ]
         )
         return
-    found = version_at(records, _moment(at))
-    if found is None:
-        fail("no bundle was in force then")
+    record = version_at(records, _parse_time(at))
+    if record is None:
+        fail("no bundle was in force at that time")
     session.show(
         {
-            "version": found.version,
-            "since": _time(found.at),
-            "change_id": found.change_id,
-            "rolled_by": found.who,
-            "signature": found.signature,
-            "record_hash": found.hash,
+            "version": record.version,
+            "since": _format_time(record.at),
+            "change_id": record.change_id,
+            "rolled_by": record.who,
+            "signature": record.signature,
+            "record_hash": record.hash,
         }
     )
 
@@ -72,7 +72,7 @@
 )
 @click.pass_obj
 def verify(session: Session, bootstrap: tuple[str, ...]) -> None:
-    """Checks the chain and all signatures; exit code 1 if one is wrong."""
+    """Verifies the hash chain and all signatures; exit code 1 on failure."""
     keys = dict(item.split("=", 1) for item in bootstrap)
     records = read_trail(session.run(lambda c: c.query("audit")))
     outcome = verify_trail(records, keys)
--- a/packages/ctl/src/marjoramyard/ctl/cmd/bundles.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/bundles.py
@@ -1,4 +1,4 @@
-"""Commands of the bundle's life cycle."""
+"""Commands of the bundle's life cycle, from proposal to roll-out."""
 
 from pathlib import Path
 
@@ -80,11 +80,11 @@
 @click.argument("path", type=click.Path(path_type=Path))
 @_as_option
 @_key_option
-@click.option("--note", default="", help="Why; auditors read it.")
+@click.option("--note", default="", help="Reason, for auditors.")
 @click.option(
     "--save",
     type=click.Path(path_type=Path),
-    help="Keeps the signed change, for a resend with --resend.",
+    help="Saves the change to this file, for use with --resend.",
 )
 @click.option("--resend", is_flag=True, help="PATH is a saved change.")
 @click.pass_obj
@@ -97,7 +97,7 @@
     save: Path | None,
     resend: bool,
 ) -> None:
-    """Proposes the bundle in PATH against the one in force."""
+    """Proposes to replace the bundle in force by the one in PATH."""
     private = _read_key(key_file)
 
     async def work(connection: Connection) -> dict:
@@ -121,10 +121,10 @@
 @click.pass_obj
 def diff(session: Session, path: Path) -> None:
     """Shows how the bundle in PATH differs from the one in force."""
-    rows = read_bundle_rows(path)
+    proposed = read_bundle_rows(path)
     in_force = session.run(lambda connection: connection.query("bundle"))
-    put, remove = difference(in_force["rows"], rows)
-    listed = [
+    put, remove = difference(in_force["rows"], proposed)
+    rows = [
         {
             "change": "replace" if name in in_force["rows"] else "add",
             "row": name,
@@ -132,8 +132,8 @@
         }
         for name, raw in sorted(put.items())
     ]
-    listed += [{"change": "remove", "row": n, "value": ""} for n in remove]
-    session.show(listed)
+    rows += [{"change": "remove", "row": n, "value": ""} for n in remove]
+    session.show(rows)
 
 
 async def _read_change(connection: Connection, change_id: str) -> ChangeRecord:
@@ -146,7 +146,10 @@
 def _sign_and_send(
     session: Session, kind: type, change_id: str, who: str, key_file: Path
 ) -> None:
-    """Signs what is shown by the leader, then sends it."""
+    """Signs a change as stored by the leader, and sends the command.
+
+    A `roll` of a change that is rolled already only shows the change.
+    """
     private = _read_key(key_file)
     action = kind.__name__.lower()
 
@@ -168,7 +171,7 @@
 @_key_option
 @click.pass_obj
 def approve(session: Session, change_id: str, who: str, key_file: Path) -> None:
-    """Approves another person's change."""
+    """Approves a change proposed by another operator."""
     _sign_and_send(session, Approve, change_id, who, key_file)
 
 
@@ -178,7 +181,7 @@
 @_key_option
 @click.pass_obj
 def roll(session: Session, change_id: str, who: str, key_file: Path) -> None:
-    """Puts an approved change in force everywhere."""
+    """Rolls out an approved change to the whole fleet."""
     _sign_and_send(session, Roll, change_id, who, key_file)
 
 
@@ -186,18 +189,18 @@
 @click.argument("version", type=int)
 @_as_option
 @_key_option
-@click.option("--note", default="", help="Why; auditors read it.")
+@click.option("--note", default="", help="Reason, for auditors.")
 @click.pass_obj
 def restore(
     session: Session, version: int, who: str, key_file: Path, note: str
 ) -> None:
-    """Proposes the content of an old VERSION again, on purpose."""
+    """Proposes to restore the content of an earlier VERSION."""
     private = _read_key(key_file)
 
     async def work(connection: Connection) -> dict:
         in_force = await connection.query("bundle")
         if not 0 < version < in_force["version"]:
-            fail(f"version {version} is not an older one", EXIT_USAGE)
+            fail(f"version {version} is not an earlier version", EXIT_USAGE)
         rows = past_rows(await connection.query("audit"), version)
         change = new_change(in_force, rows, who, note, version)
         return await _propose(connection, change, private)
--- a/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
@@ -1,4 +1,4 @@
-"""Commands that form the cluster of control hosts and repair it."""
+"""The `cluster` commands: bootstrap and replacement of control hosts."""
 
 import asyncio
 import secrets
@@ -26,18 +26,19 @@
 from marjoramyard.kernel.ids import ReplicaId
 
 _CALL_SECONDS = 5.0
+_MEMBER_CHANGE_SECONDS = 20.0
 _CATCH_UP_SECONDS = 120.0
 _POLL_SECONDS = 0.3
 
 
 async def host_status(connection: Connection, address: str) -> HostStatus:
-    """Asks one host how it stands, or exits."""
-    answer = await connection.client.call(
+    """Returns the status of a control host; exits if it is unreachable."""
+    response = await connection.client.call(
         address, STATUS_PATH, Empty(), HostStatus, _CALL_SECONDS
     )
-    if isinstance(answer, Err):
-        fail(f"{address}: {answer.err_value.message}", EXIT_UNREACHABLE)
-    return answer.ok_value
+    if isinstance(response, Err):
+        fail(f"{address}: {response.err_value.message}", EXIT_UNREACHABLE)
+    return response.ok_value
 
 
 async def _init_host(
@@ -55,33 +56,37 @@
 ) -> HostStatus:
     return require(
         await connection.control.ask(
-            MEMBER_PATH, change, HostStatus, 20.0, _CALL_SECONDS
+            MEMBER_PATH,
+            change,
+            HostStatus,
+            _MEMBER_CHANGE_SECONDS,
+            _CALL_SECONDS,
         )
     )
 
 
 @click.group()
 def cluster() -> None:
-    """Forms the cluster of control hosts and repairs it."""
+    """Bootstraps and repairs the cluster of control hosts."""
 
 
 @cluster.command()
 @click.pass_obj
 def init(session: Session) -> None:
-    """Forms a new cluster of the --control hosts, all of them empty."""
+    """Bootstraps a new cluster of the --control hosts, which must be empty."""
 
     async def work(connection: Connection) -> dict:
-        words = [await host_status(connection, h) for h in session.hosts]
-        for host, word in zip(session.hosts, words, strict=True):
-            if word.role != "empty":
+        statuses = [await host_status(connection, h) for h in session.hosts]
+        for host, status in zip(session.hosts, statuses, strict=True):
+            if status.role != "empty":
                 fail(
                     f"{host} holds a replica already; a host that lost its "
-                    "disk is taken in with `cluster replace`",
+                    "disk is added with `cluster replace`",
                     EXIT_CONFLICT,
                 )
         addresses = {
-            ReplicaId(word.replica): host
-            for host, word in zip(session.hosts, words, strict=True)
+            ReplicaId(status.replica): host
+            for host, status in zip(session.hosts, statuses, strict=True)
         }
         membership = Membership(tuple(addresses), (), addresses)
         message = InitCluster(secrets.token_hex(8), membership)
@@ -97,65 +102,65 @@
 @click.argument("address")
 @click.pass_obj
 def replace(session: Session, lost: str, address: str) -> None:
-    """Replaces replica LOST, whose disk is gone, by the host at ADDRESS.
+    """Replaces replica LOST, whose disk is lost, by the host at ADDRESS.
 
-    The new host gets a new identity, receives the log without a vote, gets
-    a vote once it has synced all of it, and only then the lost one goes
-    out. May be run again after it was interrupted.
+    The new host gets a new identity and joins as a learner. It becomes a
+    voter when it has synced the whole log; the lost replica is removed
+    after that. Can be run again if it was interrupted.
     """
 
     async def work(connection: Connection) -> dict:
-        word = await host_status(connection, address)
-        replica = word.replica
-        if word.role == "empty":
-            known = await _cluster_of(connection, session.hosts)
-            message = InitCluster(known, Membership())
+        status = await host_status(connection, address)
+        replica = status.replica
+        if status.role == "empty":
+            cluster_id = await _cluster_of(connection, session.hosts)
+            message = InitCluster(cluster_id, Membership())
             await _init_host(connection, address, message)
-        click.echo(f"{replica}: added without a vote", err=True)
+        click.echo(f"{replica}: added as a learner", err=True)
         change = MemberChange("add", replica, address)
         await _change_member(connection, change)
         await _promote(connection, replica)
-        click.echo(f"{replica}: has all entries and votes", err=True)
+        click.echo(f"{replica}: has all entries and is a voter", err=True)
         change = MemberChange("remove", lost)
-        done = await _change_member(connection, change)
+        status = await _change_member(connection, change)
         return {
             "removed": lost,
-            "voters": ", ".join(done.membership.voters),
-            "safe": "another host may be lost now without loss",
+            "voters": ", ".join(status.membership.voters),
+            "safe": "another control host may fail now without data loss",
         }
 
     session.show(session.run(work))
 
 
 async def _cluster_of(connection: Connection, hosts: list[str]) -> str:
-    """Returns the id of the cluster that the other hosts form."""
+    """Returns the id of the cluster that the given hosts belong to."""
     for host in hosts:
-        answer = await connection.client.call(
+        response = await connection.client.call(
             host, STATUS_PATH, Empty(), HostStatus, _CALL_SECONDS
         )
-        if not isinstance(answer, Err) and answer.ok_value.cluster:
-            return answer.ok_value.cluster
-    fail("no control host of a cluster answers", EXIT_UNREACHABLE)
+        if not isinstance(response, Err) and response.ok_value.cluster:
+            return response.ok_value.cluster
+    fail("no control host of a cluster responds", EXIT_UNREACHABLE)
 
 
 async def _promote(connection: Connection, replica: str) -> None:
-    """Gives the learner a vote as soon as it has caught up."""
+    """Makes the learner a voter as soon as it has caught up with the log."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + _CATCH_UP_SECONDS
-    while loop.time() < until:
-        answer = await connection.control.ask(
+    deadline = loop.time() + _CATCH_UP_SECONDS
+    while loop.time() < deadline:
+        response = await connection.control.ask(
             MEMBER_PATH,
             MemberChange("promote", replica),
             HostStatus,
-            20.0,
+            _MEMBER_CHANGE_SECONDS,
             _CALL_SECONDS,
         )
-        if not isinstance(answer, Err):
+        if not isinstance(response, Err):
             return
-        if answer.err_value.kind is not Kind.CONFLICT:
-            require(answer)
+        if response.err_value.kind is not Kind.CONFLICT:
+            require(response)
         await asyncio.sleep(_POLL_SECONDS)
-    fail(f"{replica} did not catch up; look at its log, then run this again")
+    fail(f"{replica} did not catch up; check its log, then run this again")
 
 
 def setup(main: click.Group) -> None:
--- a/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
@@ -1,4 +1,4 @@
-"""`marjoramctl explain` and `causes`: what logs tell of failed requests."""
+"""The `explain` and `causes` commands, which analyse log files."""
 
 import json
 import sys
@@ -31,16 +31,16 @@
 @FILES
 @click.pass_obj
 def explain(session, request_id: str, files: tuple[Path, ...]) -> None:
-    """Tells what became of a request, from the logs of several processes."""
-    story = request_traces.trace_of(request_id, _read(files))
-    if not story:
+    """Shows the trace of a request from the logs of several processes."""
+    trace = request_traces.trace_of(request_id, _read(files))
+    if not trace:
         click.echo(
-            f"no line of {request_id} in these files; add the logs of all "
-            "gateways of its time",
+            f"no log line of request {request_id} in these files; add the "
+            "logs of all gateways that ran at that time",
             err=True,
         )
         sys.exit(EXIT_NOT_FOUND)
-    for line in story:
+    for line in trace:
         as_json = session.output == "json"
         click.echo(json.dumps(line) if as_json else request_traces.render(line))
 
@@ -49,16 +49,16 @@
 @FILES
 @click.pass_obj
 def causes(session, files: tuple[Path, ...]) -> None:
-    """Counts why requests failed, the most frequent cause first."""
-    found = request_traces.causes(_read(files))
+    """Counts the causes of failed requests, the most frequent first."""
+    counts = request_traces.causes(_read(files))
     if session.output == "json":
-        click.echo(json.dumps(dict(found)))
+        click.echo(json.dumps(dict(counts)))
         return
-    for cause, count in found:
+    for cause, count in counts:
         click.echo(f"{count:8d}  {cause}")
 
 
 def setup(main: click.Group) -> None:
-    """Registers the commands."""
+    """Adds the commands."""
     main.add_command(explain)
     main.add_command(causes)
--- a/packages/ctl/src/marjoramyard/ctl/cmd/keys.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/keys.py
@@ -1,4 +1,4 @@
-"""Commands that make keys and secrets."""
+"""The `key` commands."""
 
 import hashlib
 import os
@@ -22,20 +22,20 @@
             path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, _PRIVATE_MODE
         )
     except FileExistsError:
-        fail(f"{path}: exists; name another file", EXIT_USAGE)
+        fail(f"{path}: already exists; name another file", EXIT_USAGE)
     with os.fdopen(handle, "w") as file:
         file.write(text + "\n")
 
 
 @click.group()
 def key() -> None:
-    """Makes keys and secrets."""
+    """Generates keys and secrets."""
 
 
 @key.command("operator")
 @click.argument("path", type=click.Path(path_type=Path))
 def key_operator(path: Path) -> None:
-    """Makes an operator's signing key; prints the public half."""
+    """Generates an operator's signing key; prints the public key."""
     private = make_private_key()
     _write_private(path, private)
     click.echo(public_key_of(private))
@@ -44,13 +44,13 @@
 @key.command("secret")
 @click.argument("path", type=click.Path(path_type=Path))
 def key_secret(path: Path) -> None:
-    """Makes the secret that the fleet's processes share."""
+    """Generates the secret shared by the fleet's processes."""
     _write_private(path, secrets.token_hex(32))
 
 
 @key.command("api")
 def key_api() -> None:
-    """Makes an API key; prints it and the hash for the bundle."""
+    """Generates an API key; prints it and its hash for the bundle."""
     api_key = secrets.token_urlsafe(32)
     click.echo(f"key   {api_key}")
     click.echo(f"hash  {hashlib.sha256(api_key.encode()).hexdigest()}")
--- a/packages/ctl/src/marjoramyard/ctl/cmd/main.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/main.py
@@ -17,7 +17,7 @@
 )
 
 OPTIONAL_MODULES = ("marjoramyard.standin.cmd.experiment",)
-"""Of packages that operators need not install."""
+"""Command modules of optional packages; skipped if not installed."""
 
 
 @click.group(context_settings={"auto_envvar_prefix": "MARJORAMCTL"})
@@ -40,8 +40,8 @@
 ) -> None:
     """Operates and audits a marjoramyard fleet.
 
-    Exit codes: 0 done, 1 refused, 2 wrong usage, 3 no leader answered,
-    4 conflict with what is in force.
+    Exit codes: 0 success, 1 refused, 2 invalid usage, 3 no leader reachable,
+    4 conflict with the current state.
     """
     context.obj = Session(list(hosts), secret_file, output)
 
--- a/packages/ctl/src/marjoramyard/ctl/cmd/views.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/views.py
@@ -1,4 +1,4 @@
-"""Commands that show how the fleet stands, and engine orders."""
+"""Commands that show the state of the fleet, and `order`."""
 
 import click
 from result import Err
@@ -15,32 +15,32 @@
 @click.command()
 @click.pass_obj
 def status(session: Session) -> None:
-    """Shows every control host's own word."""
+    """Shows the status that each control host reports."""
 
     async def work(connection: Connection) -> list[dict]:
         rows = []
         for host in session.hosts:
-            answer = await connection.client.call(
+            response = await connection.client.call(
                 host,
                 STATUS_PATH,
                 Empty(),
                 HostStatus,
                 _STATUS_SECONDS,
             )
-            if isinstance(answer, Err):
+            if isinstance(response, Err):
                 rows.append({"host": host, "role": "no answer"})
                 continue
-            word = answer.ok_value
+            report = response.ok_value
             rows.append(
                 {
                     "host": host,
-                    "name": word.name,
-                    "replica": word.replica,
-                    "role": word.role,
-                    "term": word.term,
-                    "commit": word.commit,
-                    "bundle": word.version,
-                    "leader": word.leader,
+                    "name": report.name,
+                    "replica": report.replica,
+                    "role": report.role,
+                    "term": report.term,
+                    "commit": report.commit,
+                    "bundle": report.version,
+                    "leader": report.leader,
                 }
             )
         return rows
@@ -63,7 +63,7 @@
 @click.command()
 @click.pass_obj
 def changes(session: Session) -> None:
-    """Lists the changes of the bundle and where they stand."""
+    """Lists the changes of the bundle and their states."""
     session.show(session.run(lambda c: c.query("changes")))
 
 
@@ -89,7 +89,7 @@
 @click.command()
 @click.pass_obj
 def endpoints(session: Session) -> None:
-    """Lists the endpoints that are announced."""
+    """Lists the registered endpoints."""
     rows = session.run(lambda c: c.query("directory"))
     session.show(
         [row for row in rows if row["role"] == "agent"],
@@ -100,9 +100,9 @@
 @click.command()
 @click.pass_obj
 def suspects(session: Session) -> None:
-    """Lists requests that ran when endpoints died."""
-    known = session.run(lambda c: c.query("suspects"))
-    session.show([{"fingerprint": k, **v} for k, v in known.items()])
+    """Lists the fingerprints of requests that ran when endpoints died."""
+    suspects = session.run(lambda c: c.query("suspects"))
+    session.show([{"fingerprint": k, **v} for k, v in suspects.items()])
 
 
 @click.command()
@@ -116,7 +116,7 @@
 def order(
     session: Session, endpoint: str, action: str, argument: str, who: str
 ) -> None:
-    """Orders an endpoint to load or change something."""
+    """Orders an engine endpoint to load a model or change its set-up."""
 
     async def work(connection: Connection) -> object:
         command = IssueOrder(endpoint, action, argument, who)
--- a/packages/ctl/src/marjoramyard/ctl/session.py
+++ b/packages/ctl/src/marjoramyard/ctl/session.py
@@ -1,4 +1,4 @@
-"""One run of the tool: whom it asks, how it prints, how it exits."""
+"""Connections, output and exit codes of one invocation of the tool."""
 
 import asyncio
 import sys
@@ -24,7 +24,13 @@
 
 
 class Session:
-    """What the global options say."""
+    """The global options, and what commands do with them.
+
+    Attributes:
+        hosts: Internal addresses of control hosts.
+        secret_file: File with the secret shared by the fleet's processes.
+        output: `table` or `json`.
+    """
 
     def __init__(self, hosts: list[str], secret_file: str, output: str):
         self.hosts = hosts
@@ -33,7 +39,7 @@
 
     @asynccontextmanager
     async def connect(self) -> AsyncIterator["Connection"]:
-        """Owns the connections of one command."""
+        """Opens the connections of one command, and closes them at the end."""
         try:
             secret = read_secret(self.secret_file)
         except ValueError as error:
@@ -45,7 +51,7 @@
             await client.close()
 
     def run(self, work: Callable[["Connection"], Awaitable[T]]) -> T:
-        """Runs one command's work."""
+        """Runs a coroutine function with a connection; returns its result."""
 
         async def connected() -> T:
             async with self.connect() as connection:
@@ -54,7 +60,13 @@
         return asyncio.run(connected())
 
     def show(self, value: Any, columns: list[str] | None = None) -> None:
-        """Prints a value: a table for people, JSON for programs."""
+        """Prints a value in the chosen output format.
+
+        Args:
+            value: A list of rows, or a mapping.
+            columns: The columns of a table of rows; by default the keys of
+                the first row.
+        """
         plain = msgspec.to_builtins(value)
         if self.output == "json":
             encoded = msgspec.json.format(msgspec.json.encode(plain))
@@ -74,7 +86,7 @@
         self.control = control
 
     async def query(self, subject: str, argument: str = "") -> Any:
-        """Asks a confirmed leader, or exits."""
+        """Queries the confirmed leader; exits on failure."""
         reply = require(await self.control.query(subject, argument))
         return reply.value
 
@@ -97,7 +109,7 @@
 
 
 def fail(message: str, code: int = EXIT_FAILED) -> NoReturn:
-    """Prints what went wrong and exits."""
+    """Prints an error message to standard error and exits."""
     click.echo(message, err=True)
     sys.exit(code)
 
@@ -111,10 +123,10 @@
     return EXIT_FAILED
 
 
-def require(answer: Result[T, Failure]) -> T:
-    """Returns the answer, or exits with its failure."""
-    if isinstance(answer, Err):
-        reason = answer.err_value
+def require(result: Result[T, Failure]) -> T:
+    """Returns the value of a result; prints a failure and exits."""
+    if isinstance(result, Err):
+        reason = result.err_value
         fail(f"{reason.code}: {reason.message}", exit_code_of(reason))
-    assert isinstance(answer, Ok)
-    return answer.ok_value
+    assert isinstance(result, Ok)
+    return result.ok_value
--- a/packages/ctl/tests/test_auditing.py
+++ b/packages/ctl/tests/test_auditing.py
@@ -1,4 +1,4 @@
-"""Auditors find altered records and signatures that are not the signer's."""
+"""Verification of the audit trail finds altered records and signatures."""
 
 import msgspec
 
@@ -40,10 +40,10 @@
     return bundles.state.audit
 
 
-def resealed(records, place, **changes):
-    """Alters a record and makes the whole chain fit again."""
+def with_record_altered(records, index, **changes):
+    """Alters a record and recomputes the hash chain."""
     records = list(records)
-    records[place] = msgspec.structs.replace(records[place], **changes)
+    records[index] = msgspec.structs.replace(records[index], **changes)
     previous = GENESIS
     for number, record in enumerate(records):
         linked = msgspec.structs.replace(record, previous=previous, hash="")
@@ -52,21 +52,21 @@
     return records
 
 
-def test_a_good_trail_is_whole():
+def test_a_valid_trail_is_accepted():
     assert verify_trail(trail(), PUBLIC).ok() == 6
     assert "no key of awa" in verify_trail(trail(), {}).err()
 
 
-def test_a_forged_signature_is_found_although_the_chain_fits():
-    """Somebody with the disks rewrote a record and all hashes after it."""
-    altered = trail()[3].change | {"note": "nothing to see"}
-    forged = resealed(trail(), 3, change=altered)
+def test_an_invalid_signature_is_found_although_the_chain_is_valid():
+    """Guards against records rewritten together with all later hashes."""
+    altered = trail()[3].change | {"note": "altered"}
+    forged = with_record_altered(trail(), 3, change=altered)
     assert "record 4: the signature" in verify_trail(forged, PUBLIC).err()
-    other = resealed(trail(), 1, who="awa")
+    other = with_record_altered(trail(), 1, who="awa")
     assert "record 2" in verify_trail(other, PUBLIC).err()
 
 
-def test_what_was_in_force_at_a_moment():
+def test_the_version_in_force_at_a_given_time():
     assert version_at(trail(), 9.0) is None
     assert version_at(trail(), 15.0).version == 1
     assert version_at(trail(), 99.0).version == 2
