--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -1,4 +1,4 @@
-"""Heartbeats and configurations as the platform sends them."""
+"""The platform's heartbeats, configurations and headers."""
 
 import json
 from types import SimpleNamespace
@@ -71,16 +71,16 @@
 
 
 class FakeService:
-    """Keeps what it is told."""
+    """Records the calls of the API."""
 
     def __init__(self):
-        self.words = []
+        self.registrations = []
         self.departed = []
         self.document = None
         self.quorum = True
 
-    def register(self, word):
-        self.words.append(word)
+    def register(self, registration):
+        self.registrations.append(registration)
 
     def depart(self, endpoint):
         self.departed.append(endpoint)
@@ -107,11 +107,11 @@
 
 
 def test_a_heartbeat_becomes_a_registration():
-    word = read_heartbeat("i-1", json.dumps(HEARTBEAT).encode()).ok_value
-    assert (word.endpoint, word.service, word.slots) == ("i-1", "huvo11a", 64)
-    assert word.availability_zone == "zone-a"
-    assert (word.sequence, word.born) == (4, 1790000000123)
-    assert word.state is EndpointState.READY
+    read = read_heartbeat("i-1", json.dumps(HEARTBEAT).encode()).ok_value
+    assert (read.endpoint, read.service, read.slots) == ("i-1", "huvo11a", 64)
+    assert read.availability_zone == "zone-a"
+    assert (read.sequence, read.born) == (4, 1790000000123)
+    assert read.state is EndpointState.READY
 
 
 @pytest.mark.parametrize(
@@ -125,18 +125,18 @@
         {"service": 5},
     ],
 )
-def test_a_heartbeat_of_another_writer_names_no_endpoint(change):
+def test_a_heartbeat_with_invalid_fields_is_refused(change):
     text = json.dumps({**HEARTBEAT, **change}).encode()
     assert isinstance(read_heartbeat("i-1", text), Err)
 
 
-def test_bytes_that_can_t_be_read_name_no_endpoint():
-    torn = json.dumps(HEARTBEAT).encode()[:-9]
-    for text in (torn, b"\xff\xfe", b"[]", b""):
+def test_a_heartbeat_that_is_not_valid_json_is_refused():
+    truncated = json.dumps(HEARTBEAT).encode()[:-9]
+    for text in (truncated, b"\xff\xfe", b"[]", b""):
         assert isinstance(read_heartbeat("i-1", text), Err)
 
 
-def test_a_configuration_is_read_into_our_types():
+def test_a_configuration_is_decoded_into_the_fleet_s_types():
     config = read_configuration(json.dumps(CONFIG).encode()).ok_value
     (route,) = config.routes
     assert route.request_kind is RequestKind.STREAM
@@ -159,15 +159,18 @@
     assert isinstance(check_configuration(text), Err)
 
 
-async def test_a_cut_short_configuration_gets_a_typed_4xx(platform):
+async def test_a_truncated_configuration_is_refused_with_a_remedy(platform):
     text = json.dumps(CONFIG)[:-40]
     response = await platform.client.put("/v1/config", data=text)
     assert response.status == 422
-    assert "mend" in (await response.json())["error"]["message"]
+    assert (
+        "correct the configuration"
+        in (await response.json())["error"]["message"]
+    )
     assert platform.service.document is None
 
 
-async def test_a_reader_gets_the_bytes_that_were_sent(platform):
+async def test_a_configuration_is_returned_byte_for_byte(platform):
     text = json.dumps(CONFIG, indent=3).encode()
     response = await platform.client.put("/v1/config", data=text)
     assert response.status == 200
@@ -176,28 +179,29 @@
     assert await response.read() == text
 
 
-async def test_without_a_quorum_nothing_is_said_to_be_the_newest(platform):
+async def test_without_a_quorum_the_configuration_is_unavailable(platform):
     platform.service.quorum = False
     assert (await platform.client.get("/v1/config")).status == 503
     put = await platform.client.put("/v1/config", data=json.dumps(CONFIG))
     assert put.status == 503
 
 
-async def test_before_the_first_configuration_a_read_is_503(platform):
+async def test_reading_before_the_first_configuration_is_503(platform):
     assert (await platform.client.get("/v1/config")).status == 503
 
 
-async def test_endpoints_come_and_go(platform):
+async def test_endpoints_are_registered_and_removed(platform):
     put = await platform.client.put("/v1/endpoints/i-1", json=HEARTBEAT)
     assert put.status == 200
-    assert platform.service.words[0].endpoint == "i-1"
-    torn = await platform.client.put("/v1/endpoints/i-2", data="{")
-    assert torn.status == 400
+    assert platform.service.registrations[0].endpoint == "i-1"
+    truncated = await platform.client.put("/v1/endpoints/i-2", data="{")
+    assert truncated.status == 400
     await platform.client.delete("/v1/endpoints/i-1")
     assert platform.service.departed == ["i-1"]
 
 
-def test_callers_can_t_steer_an_engine_s_memory():
+def test_headers_that_control_an_engine_s_cache_are_not_forwarded():
+    """Guards against callers who control the caches of engines."""
     dropped = HEADERS.not_passed_on
     for name in (
         "X-Api-Key",
