--- a/packages/ctl/src/marjoramyard/ctl/changes.py
+++ b/packages/ctl/src/marjoramyard/ctl/changes.py
@@ -31,7 +31,7 @@
 
 
 def difference(old: Rows, new: Rows) -> tuple[Rows, list[str]]:
-    """Returns the rows to put and the paths to remove from old to new."""
+    """Returns the rows to put and the paths to remove, from `old` to `new`."""
     put = {path: raw for path, raw in new.items() if old.get(path) != raw}
     remove = sorted(path for path in old if path not in new)
     return put, remove
@@ -65,7 +65,7 @@
     )
 
 
-def past_rows(trail: list[dict], version: int) -> Rows:
+def rows_of_version(trail: list[dict], version: int) -> Rows:
     """Rebuilds the rows of an earlier version from the audit trail."""
     return rows_at(read_trail(trail), version)
 
--- a/packages/ctl/src/marjoramyard/ctl/cmd/bundles.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/bundles.py
@@ -18,8 +18,8 @@
 from marjoramyard.ctl.changes import (
     difference,
     new_change,
-    past_rows,
     read_bundle_rows,
+    rows_of_version,
 )
 from marjoramyard.ctl.session import (
     EXIT_CONFLICT,
@@ -27,7 +27,7 @@
     Connection,
     Session,
     fail,
-    require,
+    value_or_exit,
 )
 from marjoramyard.fleet.control.signatures import sign
 
@@ -65,7 +65,9 @@
 
 
 async def _send(connection: Connection, command: Command) -> dict:
-    reply = require(await connection.control.command(command, _SEND_SECONDS))
+    reply = value_or_exit(
+        await connection.control.command(command, _SEND_SECONDS)
+    )
     return _summary(reply.change)
 
 
@@ -201,7 +203,7 @@
         in_force = await connection.query("bundle")
         if not 0 < version < in_force["version"]:
             fail(f"version {version} is not an earlier version", EXIT_USAGE)
-        rows = past_rows(await connection.query("audit"), version)
+        rows = rows_of_version(await connection.query("audit"), version)
         change = new_change(in_force, rows, who, note, version)
         return await _propose(connection, change, private)
 
--- a/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
@@ -13,7 +13,7 @@
     Connection,
     Session,
     fail,
-    require,
+    value_or_exit,
 )
 from marjoramyard.fleet.messages import (
     Empty,
@@ -44,7 +44,7 @@
 async def _init_host(
     connection: Connection, address: str, message: InitCluster
 ) -> None:
-    require(
+    value_or_exit(
         await connection.client.call(
             address, INIT_PATH, message, Empty, _CALL_SECONDS
         )
@@ -54,7 +54,7 @@
 async def _change_member(
     connection: Connection, change: MemberChange
 ) -> HostStatus:
-    return require(
+    return value_or_exit(
         await connection.control.ask(
             MEMBER_PATH,
             change,
@@ -158,7 +158,7 @@
         if not isinstance(response, Err):
             return
         if response.err_value.kind is not Kind.CONFLICT:
-            require(response)
+            value_or_exit(response)
         await asyncio.sleep(_POLL_SECONDS)
     fail(f"{replica} did not catch up; check its log, then run this again")
 
--- a/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
@@ -42,7 +42,9 @@
         sys.exit(EXIT_NOT_FOUND)
     for line in trace:
         as_json = session.output == "json"
-        click.echo(json.dumps(line) if as_json else request_traces.render(line))
+        click.echo(
+            json.dumps(line) if as_json else request_traces.format_line(line)
+        )
 
 
 @click.command()
--- a/packages/ctl/src/marjoramyard/ctl/cmd/views.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/views.py
@@ -4,7 +4,7 @@
 from result import Err
 
 from marjoramyard.coordination.governance.commands import IssueOrder
-from marjoramyard.ctl.session import Connection, Session, require
+from marjoramyard.ctl.session import Connection, Session, value_or_exit
 from marjoramyard.fleet.messages import Empty, HostStatus
 from marjoramyard.fleet.paths import STATUS_PATH
 
@@ -121,7 +121,7 @@
     async def work(connection: Connection) -> object:
         command = IssueOrder(endpoint, action, argument, who)
         reply = await connection.control.command(command, _ORDER_SECONDS)
-        return require(reply).order
+        return value_or_exit(reply).order
 
     session.show(session.run(work))
 
--- a/packages/ctl/src/marjoramyard/ctl/request_traces.py
+++ b/packages/ctl/src/marjoramyard/ctl/request_traces.py
@@ -33,7 +33,7 @@
             yield line
 
 
-def failed(line: Line) -> bool:
+def is_failed(line: Line) -> bool:
     """Returns whether a line is that of a failed request."""
     status = line.get("status", 0)
     return line["event"] == "request" and not 200 <= status < 300
@@ -95,11 +95,11 @@
 
 def causes(lines: Iterable[Line]) -> list[tuple[str, int]]:
     """Counts the causes of failed requests, the most frequent first."""
-    counts = Counter(cause_of(line) for line in lines if failed(line))
+    counts = Counter(cause_of(line) for line in lines if is_failed(line))
     return sorted(counts.items(), key=lambda pair: (-pair[1], pair[0]))
 
 
-def render(line: Line) -> str:
+def format_line(line: Line) -> str:
     """Formats a line as text: time, process name, event and fields."""
     fields = [
         f"{key}={value}"
--- a/packages/ctl/src/marjoramyard/ctl/session.py
+++ b/packages/ctl/src/marjoramyard/ctl/session.py
@@ -24,7 +24,7 @@
 
 
 class Session:
-    """The global options, and what commands do with them.
+    """The global options and the output of one invocation.
 
     Attributes:
         hosts: Internal addresses of control hosts.
@@ -87,7 +87,7 @@
 
     async def query(self, subject: str, argument: str = "") -> Any:
         """Queries the confirmed leader; exits on failure."""
-        reply = require(await self.control.query(subject, argument))
+        reply = value_or_exit(await self.control.query(subject, argument))
         return reply.value
 
 
@@ -123,7 +123,7 @@
     return EXIT_FAILED
 
 
-def require(result: Result[T, Failure]) -> T:
+def value_or_exit(result: Result[T, Failure]) -> T:
     """Returns the value of a result; prints a failure and exits."""
     if isinstance(result, Err):
         reason = result.err_value
--- a/packages/kernel/tests/test_settings.py
+++ b/packages/kernel/tests/test_settings.py
@@ -11,7 +11,7 @@
 from marjoramyard.kernel.settings import load_settings, parse_settings
 
 ROOT = Path(__file__).parents[3]
-GOOD = """\
+VALID_SETTINGS = """\
 role: entry
 name: entry-1
 zone: zone-a
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "expected"),
     [
         ("zone: zone-a", "zone: zone-a\nzoone: x", ["x.yaml:4", "'zoone'"]),
         ("zone: zone-a\n", "", ["'zone'", "add it"]),
@@ -54,13 +54,15 @@
         ("[127.0.0.1:9001]", "7", ["x.yaml:6", "control_hosts", "array"]),
         ("role: entry", "role: door", ["x.yaml:1", "agent, control, entry"]),
         ("role: entry", "role: [", ["not valid YAML"]),
-        (GOOD, "- 1", ["mapping"]),
+        (VALID_SETTINGS, "- 1", ["mapping"]),
     ],
 )
-def test_an_invalid_setting_gives_an_error_with_its_location(old, new, words):
-    error = parse_settings("x.yaml", GOOD.replace(old, new)).err()
-    for word in words:
-        assert word in error, error
+def test_an_invalid_setting_gives_an_error_with_its_location(
+    old, new, expected
+):
+    error = parse_settings("x.yaml", VALID_SETTINGS.replace(old, new)).err()
+    for part in expected:
+        assert part in error, error
     assert "\n" not in error or "YAML" in error
 
 
@@ -70,7 +72,7 @@
 
 def test_relative_paths_start_at_the_folder_of_the_settings_file(tmp_path):
     path = tmp_path / "x.yaml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     loaded = load_settings(path).ok()
     assert loaded.secret_file == str(tmp_path / "secret")
 
