--- a/packages/coordination/tests/consensus/test_membership_plan.py
+++ b/packages/coordination/tests/consensus/test_membership_plan.py
@@ -1,10 +1,10 @@
-"""Voters are replaced without an operator and without a weak moment."""
+"""Tests of the planning of membership changes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from marjoramyard.coordination.consensus.membership_plan import (
-    Candidate,
+    AvailableHost,
     Step,
     StepKind,
     apply_step,
@@ -21,20 +21,21 @@
     return Membership(tuple(voters), tuple(learners), ADDRESSES)
 
 
-def candidates(*replicas):
-    return [Candidate(replica, ADDRESSES[replica]) for replica in replicas]
+def available_hosts(*replicas):
+    return [AvailableHost(replica, ADDRESSES[replica]) for replica in replicas]
 
 
-def test_a_wiped_voter_is_replaced_in_the_safe_order():
-    """An operator's acknowledged change could be lost with a second disk.
+def test_a_wiped_voter_is_replaced_before_it_is_removed():
+    """Guards against: acknowledged entries lost with a second disk.
 
-    C loses its disk and comes back as D. D is caught up, then votes, and
-    only then is C taken out; so every quorum on the way holds two copies.
+    C loses its disk and rejoins as D.
     """
     membership = members((A, B, C))
     steps = []
     for caught_up in (set(), set(), {D}, {D}):
-        step = next_step(membership, 3, candidates(A, B, D), {C}, caught_up)
+        step = next_step(
+            membership, 3, available_hosts(A, B, D), {C}, caught_up
+        )
         if step is None:
             continue
         steps.append((step.kind, step.replica))
@@ -47,13 +48,13 @@
     assert set(membership.voters) == {A, B, D}
 
 
-def test_a_dark_voter_without_a_spare_stays():
-    assert next_step(members((A, B, C)), 3, candidates(A, B), {C}, set()) is (
-        None
-    )
+def test_a_lost_voter_without_a_replacement_stays():
+    assert next_step(
+        members((A, B, C)), 3, available_hosts(A, B), {C}, set()
+    ) is (None)
 
 
-def test_a_lost_learner_goes_so_that_its_successor_can_come():
+def test_a_lost_learner_is_removed():
     step = next_step(members((A, B, C), (D,)), 3, [], {D}, set())
     assert step == Step(StepKind.REMOVE, D)
 
@@ -69,7 +70,7 @@
     membership = members((A, B, C))
     for _ in range(6):
         step = next_step(
-            membership, 3, candidates(*sorted(announced)), lost, caught_up
+            membership, 3, available_hosts(*sorted(announced)), lost, caught_up
         )
         if step is None:
             return
--- a/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
@@ -55,7 +55,7 @@
     connection: Connection, change: MemberChange
 ) -> HostStatus:
     return value_or_exit(
-        await connection.control.ask(
+        await connection.control.call_leader(
             MEMBER_PATH,
             change,
             HostStatus,
@@ -148,7 +148,7 @@
     loop = asyncio.get_running_loop()
     deadline = loop.time() + _CATCH_UP_SECONDS
     while loop.time() < deadline:
-        response = await connection.control.ask(
+        response = await connection.control.call_leader(
             MEMBER_PATH,
             MemberChange("promote", replica),
             HostStatus,
--- a/packages/fleet/src/marjoramyard/fleet/control/keeper.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/keeper.py
@@ -11,7 +11,7 @@
 from result import Err, Ok
 
 from marjoramyard.coordination.consensus.membership_plan import (
-    Candidate,
+    AvailableHost,
     Step,
     StepKind,
     apply_step,
@@ -71,7 +71,7 @@
         if role.storage is not None:
             replica = str(role.spare_id)
         if role.running is not None:
-            replica = str(role.running.core.me)
+            replica = str(role.running.core.replica_id)
             cluster = role.storage.identity.cluster
             entries = role.running.core.log.last_index
         return ControlHost(
@@ -249,14 +249,14 @@
             done=isinstance(done, Ok),
         )
 
-    def _candidates(self, now: float) -> list[Candidate]:
+    def _candidates(self, now: float) -> list[AvailableHost]:
         """Returns the hosts with a disk that announced themselves lately."""
         found = []
         for address, host in self.seen.items():
             fresh = now - self.seen_at[address] < FRESH_SECONDS
             if host.replica and fresh:
                 found.append(
-                    Candidate(ReplicaId(host.replica), address, host.zone)
+                    AvailableHost(ReplicaId(host.replica), address, host.zone)
                 )
         return found
 
@@ -270,7 +270,7 @@
         lost = set()
         core = self.role.running.core
         for replica, address in core.membership.addresses.items():
-            if replica == core.me:
+            if replica == core.replica_id:
                 continue
             host = self.seen.get(address)
             at = max(self.seen_at.get(address, 0.0), self.led_since)
--- /dev/null
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -0,0 +1,422 @@
+"""Runs one request: placement, sends, and retries after failed sends."""
+
+import random
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+import aiohttp
+import msgspec
+from aiohttp import web
+
+from marjoramyard.coordination.membership.registrations import (
+    EndpointState,
+    Registration,
+)
+from marjoramyard.coordination.placement.local_placement import place_prompt
+from marjoramyard.coordination.routing.config import Service
+from marjoramyard.coordination.serving.retries import RetryBudget
+from marjoramyard.fleet.gateway.admission import CallerRequest
+from marjoramyard.fleet.gateway.attempts import (
+    SendFailedError,
+    SendOutcome,
+    SendPlan,
+    open_response,
+)
+from marjoramyard.fleet.gateway.broker_client import BrokerClients
+from marjoramyard.fleet.gateway.broker_protocol import (
+    PlaceGrant,
+    PlaceRefusal,
+    RunningRequest,
+)
+from marjoramyard.fleet.gateway.delivery import ResponseDelivery
+from marjoramyard.fleet.gateway.dialect import HeaderNames
+from marjoramyard.fleet.gateway.engine_load import (
+    EngineLoads,
+    LocalRequest,
+    estimate_prefill_rate,
+)
+from marjoramyard.fleet.gateway.request_trace import PlacedBy, RequestTrace
+from marjoramyard.fleet.gateway.view import FleetView
+from marjoramyard.fleet.util.jitter import jitter
+from marjoramyard.kernel.errors import (
+    Failure,
+    FleetError,
+    Kind,
+    Outcome,
+    failure,
+)
+from marjoramyard.kernel.metrics import Metrics
+
+BUSY_RETRY_SECONDS = 0.4
+"""`Retry-After` when no endpoint has capacity, before jitter."""
+MAX_CONNECT_ATTEMPTS = 4
+"""Connection attempts per request, each to another endpoint if there is one."""
+MIN_RETRY_SECONDS = 0.15
+"""Lower bound of the `Retry-After` of a late request, before jitter."""
+
+
+class RequestRunContext(msgspec.Struct, frozen=True):
+    """State that all request runs of a gateway share.
+
+    Attributes:
+        view: The gateway's view of the fleet.
+        session: The HTTP session for requests to endpoints.
+        brokers: The clients of the services' brokers.
+        loads: The requests that this gateway has in flight at each engine.
+        names: The header names of the dialect.
+        metrics: The metrics of the process.
+    """
+
+    view: FleetView
+    session: aiohttp.ClientSession
+    brokers: BrokerClients
+    loads: EngineLoads
+    names: HeaderNames
+    metrics: Metrics
+
+
+class RequestRun:
+    """Sends one request, with retries, until it has a response or fails.
+
+    Attributes:
+        tried: Endpoints that the request was sent to or whose grant it
+            returned.
+        sends: Failed sends that may have reached an endpoint.
+        connect_failures: Failed sends of which no byte reached an endpoint.
+        may_have_run: Whether an endpoint may have run the request.
+        may_have_run_before: The value of `may_have_run` before the current
+            send.
+    """
+
+    def __init__(
+        self,
+        context: RequestRunContext,
+        caller: CallerRequest,
+        delivery: ResponseDelivery,
+        trace: RequestTrace,
+        service: Service,
+        budget: RetryBudget,
+    ):
+        self.context = context
+        self.view = context.view
+        self.caller = caller
+        self.delivery = delivery
+        self.trace = trace
+        self.service = service
+        self.budget = budget
+        self.tried: set[str] = set()
+        self.sends = 0
+        self.connect_failures = 0
+        self.may_have_run = False
+        self.may_have_run_before = False
+
+    async def run_to_completion(self) -> web.StreamResponse:
+        """Sends the request until it has a response or may not be sent again.
+
+        Raises:
+            FleetError: There is no response; the outcome says whether the
+                request may have run.
+        """
+        while True:
+            candidates = self._candidates()
+            plan = await self._plan(candidates)
+            try:
+                return await self._send(plan)
+            except SendFailedError as error:
+                self._on_send_failed(plan, error)
+
+    def _candidates(self) -> list[Registration]:
+        candidates = self.view.usable(self.service.name, self.tried)
+        if not candidates:
+            candidates = self.view.usable(self.service.name, set())
+            if (
+                not candidates
+                or self.sends
+                or self.connect_failures >= MAX_CONNECT_ATTEMPTS
+            ):
+                raise FleetError(self._no_endpoint_failure())
+        return candidates
+
+    async def _plan(self, candidates: list[Registration]) -> SendPlan:
+        if not self.caller.parts or self.service.engine is None:
+            return SendPlan(
+                self._least_loaded(candidates), "", self._last_event_id()
+            )
+        client = self.context.brokers.client_for(self.service.name)
+        started_at = time.monotonic()
+        broker_number, reply = await client.place(
+            self.caller, self.service, self.tried
+        )
+        self.trace.wait_ms += (time.monotonic() - started_at) * 1000
+        if isinstance(reply, PlaceRefusal):
+            self.trace.predicted_ms = round(reply.predicted_ms)
+            raise FleetError(self._late_failure(reply))
+        if reply is None:
+            plan = self._plan_locally(candidates, broker_number)
+        else:
+            plan = self._plan_granted(reply, broker_number)
+        self._record_placement(plan)
+        return plan
+
+    def _record_placement(self, plan: SendPlan) -> None:
+        by = PlacedBy.BROKER if plan.is_granted else PlacedBy.GATEWAY
+        self.trace.placed_by = by
+        self.context.metrics.count("placements", by=by.value)
+
+    def _plan_granted(self, reply: PlaceGrant, broker_number: int) -> SendPlan:
+        known = self.view.registrations.by_endpoint
+        registration = known.get(reply.endpoint)
+        if (
+            registration is None
+            or registration.state is not EndpointState.READY
+        ):
+            # The broker does not know yet that the endpoint is draining.
+            self.context.brokers.client_for(self.service.name).return_grant(
+                broker_number
+            )
+            self.tried.add(reply.endpoint)
+            return self._plan_locally(self._candidates(), broker_number)
+        source = known.get(reply.fetch_from)
+        return SendPlan(
+            registration,
+            source.address if source is not None else "",
+            self._last_event_id(),
+            reply.tokens,
+            broker_number,
+            True,
+        )
+
+    def _late_failure(self, reply: PlaceRefusal) -> Failure:
+        if self.may_have_run:
+            return self._no_endpoint_failure()
+        seconds = max(reply.retry_after_ms / 1000, MIN_RETRY_SECONDS)
+        return failure(
+            Kind.BUSY,
+            "the response would miss its objective; retry after the overload",
+            retry_after=jitter(seconds),
+        )
+
+    def _recheck_key(self) -> None:
+        """Checks the key and the lease again right before the send.
+
+        The process may have been suspended since admission, and the key revoked
+        meanwhile.
+
+        Raises:
+            FleetError: The key is no longer valid or the lease has expired.
+        """
+        if self.caller.workspace is None:
+            return
+        workspace = self.view.table.workspace_of_key(self.caller.api_key)
+        if workspace is None or not self.view.has_valid_lease():
+            kind = Kind.UNKNOWN_KEY if workspace is None else Kind.NO_LEASE
+            if self.may_have_run:
+                kind = Kind.ENDPOINT_LOST
+            raise FleetError(
+                failure(
+                    kind,
+                    "the key can no longer be verified; retry shortly",
+                    self._outcome(),
+                    BUSY_RETRY_SECONDS,
+                )
+            )
+
+    def _least_loaded(self, candidates: list[Registration]) -> Registration:
+        loads = self.context.loads
+        return min(
+            candidates,
+            key=lambda registration: (
+                loads.load_of(registration.endpoint).running,
+                random.random(),
+            ),
+        )
+
+    def _plan_locally(
+        self, candidates: list[Registration], broker_number: int
+    ) -> SendPlan:
+        """Places a prompt by this gateway's own requests in flight."""
+        loads = self.context.loads
+        loads.rate = estimate_prefill_rate(
+            self.view.table.config, len(candidates)
+        )
+        profile = self.service.engine
+        fetch_ms = 0.0
+        if profile.link_mbps > 0:
+            fetch_ms = profile.token_bytes * 8 / profile.link_mbps / 1000
+        placement = place_prompt(
+            self.caller.parts,
+            [
+                loads.load_of(registration.endpoint)
+                for registration in candidates
+            ],
+            fetch_ms,
+        )
+        by_id = {
+            registration.endpoint: registration for registration in candidates
+        }
+        source = by_id.get(placement.fetch_from)
+        return SendPlan(
+            by_id[placement.endpoint],
+            source.address if source is not None else "",
+            self._last_event_id(),
+            placement.prefill_tokens,
+            broker_number,
+        )
+
+    def _workspace_name(self) -> str:
+        workspace = self.caller.workspace
+        return workspace.name if workspace is not None else ""
+
+    def _last_event_id(self) -> str:
+        return self.delivery.events.last_id or self.caller.last_event
+
+    async def _send(self, plan: SendPlan) -> web.StreamResponse:
+        context = self.context
+        endpoint = plan.endpoint.endpoint
+        with self._track(plan) as tracked:
+            self._recheck_key()
+            self.tried.add(endpoint)
+            self.trace.sends.append(endpoint)
+            self.trace.prefill_tokens += plan.prefill_tokens
+            self.may_have_run_before = self.may_have_run
+            self.may_have_run = True
+            async with open_response(
+                context.session, self.caller, plan, context.names
+            ) as upstream:
+                if upstream.status >= 500 and self._may_retry():
+                    raise SendFailedError(
+                        SendOutcome.BROKEN, f"status {upstream.status}"
+                    )
+                response = await self.delivery.relay(
+                    upstream, tracked.finish_prefill
+                )
+        self.view.health_of(endpoint).record_success(time.monotonic())
+        return response
+
+    @contextmanager
+    def _track(self, plan: SendPlan) -> Iterator[LocalRequest]:
+        """Counts a send in the local load and at the broker while it lasts."""
+        endpoint = plan.endpoint.endpoint
+        client = None
+        failed = False
+        if plan.broker_number:
+            client = self.context.brokers.client_for(self.service.name)
+            running = RunningRequest(
+                plan.broker_number,
+                self.service.name,
+                endpoint,
+                plan.prefill_tokens,
+                self.caller.unshared_memory_tokens,
+                self._workspace_name(),
+                self.caller.output_tokens,
+            )
+            client.on_started(running, plan.is_granted)
+        try:
+            with self.context.loads.track(
+                endpoint, plan.prefill_tokens
+            ) as tracked:
+                if client is not None:
+                    tracked.on_prefilled = lambda: client.on_first_token(
+                        plan.broker_number
+                    )
+                yield tracked
+        except SendFailedError as error:
+            failed = self._is_endpoint_fault(error)
+            raise
+        finally:
+            if client is not None:
+                client.on_finished(plan.broker_number, failed)
+
+    def _is_endpoint_fault(self, error: SendFailedError) -> bool:
+        """Whether a failed send counts against the endpoint's health.
+
+        A connect timeout does not count while the event loop is late: the
+        connection may have been established in time.
+        """
+        if error.timed_out and self.context.brokers.lag.is_late:
+            return False
+        return error.outcome in (SendOutcome.NOT_SENT, SendOutcome.BROKEN)
+
+    def _may_retry(self) -> bool:
+        """Whether another send is allowed; spends no retry budget."""
+        return (
+            self.caller.may_repeat
+            and self.sends + 1 < self.caller.route.max_attempts
+            and self.budget.tokens >= 1.0
+        )
+
+    def _on_send_failed(self, plan: SendPlan, error: SendFailedError) -> None:
+        """Records a failed send and decides whether the request is sent again.
+
+        Raises:
+            FleetError: The request must not be sent again.
+        """
+        self.trace.sends[-1] += f" {error.outcome.value}: {error.reason[:80]}"
+        now = time.monotonic()
+        health = self.view.health_of(plan.endpoint.endpoint)
+        if error.outcome in (SendOutcome.NOT_SENT, SendOutcome.REFUSED):
+            self.may_have_run = self.may_have_run_before
+        if error.outcome is SendOutcome.NOT_SENT:
+            if self._is_endpoint_fault(error):
+                health.record_failure(now)
+            self.connect_failures += 1
+            if self.connect_failures < MAX_CONNECT_ATTEMPTS:
+                return
+            raise FleetError(self._no_endpoint_failure())
+        self.sends += 1
+        if error.outcome is SendOutcome.BROKEN:
+            if not error.reason.startswith("status"):
+                health.record_failure(now)
+            if not self.caller.may_repeat:
+                raise FleetError(self._attempts_failure(error))
+        if self.sends >= self.caller.route.max_attempts:
+            raise FleetError(self._attempts_failure(error))
+        if not self.budget.spend():
+            raise FleetError(self._attempts_failure(error))
+
+    def _outcome(self) -> Outcome:
+        return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
+
+    def _no_endpoint_failure(self) -> Failure:
+        if self.may_have_run:
+            return failure(
+                Kind.ENDPOINT_LOST,
+                "the endpoint was lost while the request ran, and no other is "
+                "available; check the result before sending it again",
+                Outcome.UNKNOWN,
+            )
+        return failure(
+            Kind.NO_ENDPOINT,
+            "no endpoint accepts requests now; retry shortly",
+            retry_after=jitter(BUSY_RETRY_SECONDS),
+        )
+
+    def _attempts_failure(self, error: SendFailedError) -> Failure:
+        if self.may_have_run:
+            return failure(
+                Kind.ENDPOINT_LOST,
+                f"no complete response from the endpoint ({error.reason}); the "
+                "request may have run",
+                Outcome.UNKNOWN,
+            )
+        wait_seconds = error.retry_after or BUSY_RETRY_SECONDS
+        return failure(
+            Kind.BUSY,
+            "all available endpoints are at capacity; retry later",
+            retry_after=jitter(wait_seconds),
+        )
+
+    def deadline_failure(self) -> Failure:
+        """Returns the failure of a request whose deadline has passed."""
+        if self.may_have_run:
+            return failure(
+                Kind.DEADLINE,
+                "no response before the deadline; the request may have run",
+                Outcome.UNKNOWN,
+            )
+        return failure(
+            Kind.BUSY,
+            "the deadline passed before the request was sent; it has not run",
+            retry_after=jitter(BUSY_RETRY_SECONDS),
+        )
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -1,4 +1,4 @@
-"""Finds the control leader and talks to it."""
+"""A client of the control hosts that finds the leader."""
 
 import asyncio
 import random
@@ -14,19 +14,25 @@
 
 T = TypeVar("T")
 
-TRY_SECONDS = 1.5
-"""A frozen host takes connections and never answers; go on after this."""
-_PAUSE_SECONDS = 0.15
+ATTEMPT_SECONDS = 1.5
+"""Timeout of one attempt; a suspended host accepts connections but does not
+reply."""
+_RETRY_SECONDS = 0.15
 _TRANSIENT = frozenset(
     {Kind.NOT_LEADER, Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.UNINITIALISED}
 )
 
 
 class ControlClient:
-    """Sends to the leader, following hints and passing over dead hosts.
+    """Sends requests to the control leader.
 
-    Everything sent here is idempotent by design (an attempt, a change id,
-    a death id names it), so it may be sent again when an answer is lost.
+    Follows the leader hints in replies and skips unreachable hosts. All
+    requests are idempotent, as they carry the ID of their attempt, change or
+    report, and may be sent again when a reply is lost.
+
+    Attributes:
+        hosts: The internal addresses of the control hosts.
+        leader: The address that the next request is sent to.
     """
 
     def __init__(self, client: InternalClient, hosts: list[str]):
@@ -34,47 +40,62 @@
         self.hosts = list(hosts)
         self.leader = random.choice(self.hosts)
 
-    def pass_over(self, failed: str) -> None:
-        """Goes on to another host than the one that failed."""
-        others = [host for host in self.hosts if host != failed]
-        self.leader = random.choice(others or self.hosts)
+    def select_another_host(self, failed: str) -> None:
+        """Selects another host than the one that failed."""
+        other_hosts = [host for host in self.hosts if host != failed]
+        self.leader = random.choice(other_hosts or self.hosts)
 
-    async def ask(
+    async def call_leader(
         self,
         path: str,
         message: Any,
         reply: type[T],
         timeout: float,
-        try_seconds: float = TRY_SECONDS,
+        attempt_seconds: float = ATTEMPT_SECONDS,
     ) -> Result[T, Failure]:
-        """Asks the leader until it answers or the time is up."""
+        """Sends a message to the leader until it replies or the time is up.
+
+        Args:
+            path: The path to post to.
+            message: The message.
+            reply: The type of the reply.
+            timeout: The total time in seconds.
+            attempt_seconds: The time for each attempt in seconds.
+
+        Returns:
+            The reply, or the failure of the last attempt.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout
+        deadline = loop.time() + timeout
         while True:
-            left = until - loop.time()
+            seconds_left = deadline - loop.time()
             address = self.leader
-            answer = await self.client.call(
-                address, path, message, reply, min(try_seconds, max(left, 0.1))
+            result = await self.client.call(
+                address,
+                path,
+                message,
+                reply,
+                min(attempt_seconds, max(seconds_left, 0.1)),
             )
-            if isinstance(answer, Ok):
-                return answer
-            reason = answer.err_value
+            if isinstance(result, Ok):
+                return result
+            reason = result.err_value
             if reason.kind not in _TRANSIENT:
-                return answer
+                return result
             if reason.leader and reason.leader != address:
                 self.leader = reason.leader
             else:
-                self.pass_over(address)
-            pause = _PAUSE_SECONDS * random.uniform(0.5, 1.5)
-            if loop.time() + pause >= until:
-                return Err(self._gave_up(reason))
-            await asyncio.sleep(pause)
+                self.select_another_host(address)
+            wait_seconds = _RETRY_SECONDS * random.uniform(0.5, 1.5)
+            if loop.time() + wait_seconds >= deadline:
+                return Err(self._no_leader_failure(reason))
+            await asyncio.sleep(wait_seconds)
 
     @staticmethod
-    def _gave_up(last: Failure) -> Failure:
+    def _no_leader_failure(last: Failure) -> Failure:
         return failure(
             Kind.NO_QUORUM,
-            f"no control leader answered (last: {last.message})",
+            f"no control leader replied (last failure: {last.message})",
             Outcome.UNKNOWN,
             retry_after=last.retry_after or 2.0,
         )
@@ -82,19 +103,19 @@
     async def command(
         self, command: Command, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
-        """Has a command replicated."""
-        return await self.ask(COMMAND_PATH, command, Reply, timeout)
+        """Has the control hosts replicate and apply a command."""
+        return await self.call_leader(COMMAND_PATH, command, Reply, timeout)
 
     async def look_up(
         self, key: str, body_digest: str, timeout: float = 5.0
     ) -> Result[Reply, Failure]:
-        """Asks what the ledger holds of a call."""
+        """Looks up a call in the ledger."""
         message = LookUp(key, body_digest)
-        return await self.ask(LOOK_UP_PATH, message, Reply, timeout)
+        return await self.call_leader(LOOK_UP_PATH, message, Reply, timeout)
 
     async def query(
         self, subject: str, argument: str = "", timeout: float = 8.0
     ) -> Result[QueryReply, Failure]:
-        """Asks an operator's question."""
+        """Sends an operator's query."""
         message = Query(subject, argument)
-        return await self.ask(QUERY_PATH, message, QueryReply, timeout)
+        return await self.call_leader(QUERY_PATH, message, QueryReply, timeout)
--- a/packages/fleet/src/marjoramyard/fleet/util/lag.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/lag.py
@@ -1,4 +1,4 @@
-"""Notices when this process gets too little processor."""
+"""Measures the latency of the event loop."""
 
 import asyncio
 import time
@@ -6,16 +6,21 @@
 
 from marjoramyard.kernel.metrics import Metrics
 
-STEP_SECONDS = 0.05
+INTERVAL_SECONDS = 0.05
 LATE_SECONDS = 0.05
-"""A wake-up that comes so late means that others wait as well. The smallest
-hosts give a process a quarter of a core, in turns of up to 20 ms."""
-HELD_SECONDS = 0.5
-"""How long one late wake-up counts."""
+"""A wake-up counts as late above this. Must exceed the scheduling pauses of a
+host with a fraction of a core."""
+LATE_HOLD_SECONDS = 0.5
+"""How long a late wake-up counts."""
 
 
 class LoopLag:
-    """Whether the event loop has been late recently."""
+    """Measures how late the event loop wakes up.
+
+    Attributes:
+        late_at: The last late wake-up, on the monotonic clock in seconds.
+        on_wake_up: Called at each wake-up with its lateness in seconds.
+    """
 
     def __init__(self, metrics: Metrics):
         self.metrics = metrics
@@ -24,18 +29,18 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether what is seen now may have happened a while ago."""
-        return time.monotonic() - self.late_at < HELD_SECONDS
+        """Whether the loop was late recently and events may be too."""
+        return time.monotonic() - self.late_at < LATE_HOLD_SECONDS
 
     async def watch(self) -> None:
         """Measures until cancelled."""
         while True:
-            began = time.monotonic()
-            await asyncio.sleep(STEP_SECONDS)
+            started_at = time.monotonic()
+            await asyncio.sleep(INTERVAL_SECONDS)
             now = time.monotonic()
-            late = now - began - STEP_SECONDS
-            self.metrics.observe("loop_late_seconds", late)
-            if late > LATE_SECONDS:
+            late_seconds = now - started_at - INTERVAL_SECONDS
+            self.metrics.observe("loop_late_seconds", late_seconds)
+            if late_seconds > LATE_SECONDS:
                 self.late_at = now
             for listener in self.on_wake_up:
-                listener(late)
+                listener(late_seconds)
--- a/packages/fleet/tests/gateway/test_broker_link.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -1,4 +1,4 @@
-"""A gateway's link to the broker of a service."""
+"""Requests for places while the gateway or the broker is slow."""
 
 import asyncio
 import contextlib
@@ -16,9 +16,12 @@
     Route,
     Service,
 )
-from marjoramyard.fleet.gateway.admitting import CallerRequest
-from marjoramyard.fleet.gateway.broker_link import BrokerLink
-from marjoramyard.fleet.gateway.brokering import SILENCE_SECONDS, GrantPlace
+from marjoramyard.fleet.gateway.admission import CallerRequest
+from marjoramyard.fleet.gateway.broker_client import BrokerClient
+from marjoramyard.fleet.gateway.broker_protocol import (
+    BROKER_TIMEOUT_SECONDS,
+    PlaceGrant,
+)
 from marjoramyard.fleet.util.lag import LoopLag
 from marjoramyard.kernel.metrics import Metrics
 
@@ -36,7 +39,7 @@
 
 
 class ViewOfOneBroker:
-    """A view of the fleet in which one address brokers everything."""
+    """A view of the fleet with one broker for all services."""
 
     def __init__(self, address):
         self.address = address
@@ -47,9 +50,9 @@
 
 @pytest.fixture
 def metrics():
-    made = Metrics("gateway", "g0")
-    yield made
-    made.close()
+    instance = Metrics("gateway", "g0")
+    yield instance
+    instance.close()
 
 
 @contextlib.asynccontextmanager
@@ -70,19 +73,19 @@
 
 
 @contextlib.asynccontextmanager
-async def linked(address, metrics):
+async def connected_client(address, metrics):
     async with aiohttp.ClientSession() as session:
         lag = LoopLag(metrics)
-        link = BrokerLink(ViewOfOneBroker(address), session, lag)
+        client = BrokerClient(ViewOfOneBroker(address), session, lag)
         tasks = [
             asyncio.create_task(lag.watch()),
-            asyncio.create_task(link.run("llm")),
+            asyncio.create_task(client.run("llm")),
         ]
         try:
             async with asyncio.timeout(10):
-                while not link.is_up:
+                while not client.is_connected:
                     await asyncio.sleep(0.01)
-            yield link
+            yield client
         finally:
             for task in tasks:
                 task.cancel()
@@ -100,47 +103,47 @@
         route=ROUTE,
         workspace=None,
         arrived_at=now,
-        give_up_at=now + 5,
+        deadline_at=now + 5,
     )
 
 
-async def place(link):
+async def place(client):
     async with asyncio.timeout(10):
-        _, told = await link.place(request(), SERVICE, set())
-    return told
+        _, reply = await client.place(request(), SERVICE, set())
+    return reply
 
 
-def hold_the_loop(seconds):
-    """Takes the processor as a burst of requests does."""
+def block_the_loop(seconds):
+    """Blocks the event loop."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         pass
 
 
-async def test_a_late_gateway_does_not_go_past_the_broker(metrics):
-    """Guards against: a flood at a gateway short of processor bypasses the
-    broker's line, and the flooding workspace takes the others' shares.
+async def test_a_late_gateway_does_not_bypass_the_broker(metrics):
+    """Guards against requests of a late gateway that bypass the broker's queue,
+    which would give one workspace the shares of the others.
     """
     async with (
         broker_process() as (_, address),
-        linked(address, metrics) as link,
+        connected_client(address, metrics) as client,
     ):
         for _ in range(4):
-            asked_before = asyncio.create_task(place(link))
+            earlier = asyncio.create_task(place(client))
             await asyncio.sleep(0)
-            hold_the_loop(SILENCE_SECONDS * 1.5)
-            assert isinstance(await place(link), GrantPlace)
-            assert isinstance(await asked_before, GrantPlace)
+            block_the_loop(BROKER_TIMEOUT_SECONDS * 1.5)
+            assert isinstance(await place(client), PlaceGrant)
+            assert isinstance(await earlier, PlaceGrant)
 
 
-async def test_a_frozen_broker_holds_no_request_for_long(metrics):
-    """Guards against: requests wait for a broker whose host stands still."""
+async def test_a_suspended_broker_does_not_hold_up_requests(metrics):
+    """Guards against requests that wait for a suspended broker."""
     async with (
         broker_process() as (child, address),
-        linked(address, metrics) as link,
+        connected_client(address, metrics) as client,
     ):
-        assert isinstance(await place(link), GrantPlace)
+        assert isinstance(await place(client), PlaceGrant)
         child.send_signal(signal.SIGSTOP)
         began = time.monotonic()
-        assert await place(link) is None
-        assert time.monotonic() - began < 3 * SILENCE_SECONDS
+        assert await place(client) is None
+        assert time.monotonic() - began < 3 * BROKER_TIMEOUT_SECONDS
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -202,7 +202,7 @@
 
 def test_headers_that_control_an_engine_s_cache_are_not_forwarded():
     """Guards against callers who control the caches of engines."""
-    dropped = HEADERS.not_passed_on
+    dropped = HEADERS.not_forwarded
     for name in (
         "X-Api-Key",
         "X-Marjoramyard-Tenant",
