--- a/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/explain.py
@@ -1,4 +1,4 @@
-"""`marjoramctl explain` and `causes`: what logs tell of failed requests."""
+"""The `explain` and `causes` commands, which analyse log files."""
 
 import json
 import sys
@@ -6,7 +6,7 @@
 
 import click
 
-from marjoramyard.ctl import stories
+from marjoramyard.ctl import request_traces
 
 EXIT_NOT_FOUND = 1
 
@@ -18,11 +18,11 @@
 )
 
 
-def _read(files: tuple[Path, ...]) -> list[stories.Line]:
-    lines: list[stories.Line] = []
+def _read(files: tuple[Path, ...]) -> list[request_traces.Line]:
+    lines: list[request_traces.Line] = []
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as text:
-            lines += stories.read_lines(text)
+            lines += request_traces.read_lines(text)
     return lines
 
 
@@ -31,34 +31,36 @@
 @FILES
 @click.pass_obj
 def explain(session, request_id: str, files: tuple[Path, ...]) -> None:
-    """Tells what became of a request, from the logs of several processes."""
-    story = stories.story_of(request_id, _read(files))
-    if not story:
+    """Shows the trace of a request from the logs of several processes."""
+    trace = request_traces.trace_of(request_id, _read(files))
+    if not trace:
         click.echo(
-            f"no line of {request_id} in these files; add the logs of all "
-            "gateways of its time",
+            f"no log line of request {request_id} in these files; add the "
+            "logs of all gateways that ran at that time",
             err=True,
         )
         sys.exit(EXIT_NOT_FOUND)
-    for line in story:
+    for line in trace:
         as_json = session.output == "json"
-        click.echo(json.dumps(line) if as_json else stories.render(line))
+        click.echo(
+            json.dumps(line) if as_json else request_traces.format_line(line)
+        )
 
 
 @click.command()
 @FILES
 @click.pass_obj
 def causes(session, files: tuple[Path, ...]) -> None:
-    """Counts why requests failed, the most frequent cause first."""
-    found = stories.causes(_read(files))
+    """Counts the causes of failed requests, the most frequent first."""
+    counts = request_traces.causes(_read(files))
     if session.output == "json":
-        click.echo(json.dumps(dict(found)))
+        click.echo(json.dumps(dict(counts)))
         return
-    for cause, count in found:
+    for cause, count in counts:
         click.echo(f"{count:8d}  {cause}")
 
 
 def setup(main: click.Group) -> None:
-    """Registers the commands."""
+    """Adds the commands."""
     main.add_command(explain)
     main.add_command(causes)
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -261,7 +261,7 @@
             )
         if first < attempt.replay_buffer.first_kept:
             raise_failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 f"frame {first} is no longer buffered",
                 Outcome.UNKNOWN,
             )
@@ -270,7 +270,7 @@
             return await self._stream(request, attempt, first)
         except ReplayLostError:
             raise_failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the next frame is no longer buffered",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -95,7 +95,7 @@
 
 def _held_apart() -> Failure:
     return failure(
-        Kind.HELD_APART,
+        Kind.SUSPECT_HELD,
         "this request was running when an endpoint died; it is run again "
         "separately from other such requests",
         retry_after=random.uniform(0.5, 1.5),
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -69,7 +69,7 @@
                 await self._add_data(frame.data)
         raise ResponseFailedError(
             failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the response ended without its end frame",
                 Outcome.UNKNOWN,
             )
