--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -8,8 +8,8 @@
 import aiohttp
 
 from marjoramyard.coordination.fairness.scheduler import FairScheduler
-from marjoramyard.coordination.serving.events import EventCutter
-from marjoramyard.coordination.serving.frames import AnswerTail
+from marjoramyard.coordination.serving.events import EventSplitter
+from marjoramyard.coordination.serving.frames import ReplayBuffer
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.agent.meters import METERS
 from marjoramyard.fleet.messages import RunRequest
@@ -77,7 +77,7 @@
         self.endpoint = endpoint
         self.scheduler = scheduler
         self.meter = METERS.get(kind)()
-        self.replay_buffer = AnswerTail()
+        self.replay_buffer = ReplayBuffer()
         self.state = AttemptState.ADMITTED
         self.progress = asyncio.Event()
         self.space_available = asyncio.Event()
@@ -91,7 +91,7 @@
         self.last_token_at: float | None = None
         self.stream_tail = b""
         self.upstream: aiohttp.ClientResponse | None = None
-        self.events: EventCutter | None = None
+        self.events: EventSplitter | None = None
         self.resume_path = ""
         self.resumes = 0
         self.task: asyncio.Task | None = None
@@ -111,7 +111,7 @@
         Returns:
             The failure, or None if the response is complete.
         """
-        reserved = self.scheduler.started(self.workspace)
+        reserved = self.scheduler.record_start(self.workspace)
         self.meter.begin(self.body)
         self._charge()
         try:
@@ -134,7 +134,7 @@
             self.meter.end()
             self._charge()
             self.scheduler.release(self.workspace, reserved)
-            self.scheduler.finished(self.workspace, self.meter.total)
+            self.scheduler.record_finish(self.workspace, self.meter.total)
 
     async def _exchange(self, session: aiohttp.ClientSession) -> Failure | None:
         run = self.run_request
@@ -184,7 +184,7 @@
         self.headers = end_to_end(list(response.headers.items()))
         self.replay_buffer.begin(self.status, self.headers)
         if is_stream(self.headers):
-            self.events = EventCutter()
+            self.events = EventSplitter()
             self.resume_path = response.headers.get("Content-Location", "")
             self.progress.set()
 
@@ -222,7 +222,7 @@
 
     async def _add_chunk(self, chunk: bytes) -> None:
         self._observe(chunk)
-        self.replay_buffer.data(chunk)
+        self.replay_buffer.add_data(chunk)
         self.progress.set()
         while self.replay_buffer.is_full:
             self.space_available.clear()
@@ -242,7 +242,7 @@
         Raises:
             aiohttp.ClientPayloadError: The engine refuses.
         """
-        self.events.drop_rest()
+        self.events.discard_partial()
         address = self.endpoint.announced.address
         response = await session.get(
             f"http://{address}{self.resume_path}",
@@ -264,7 +264,7 @@
         if tokens:
             if self.last_token_at is not None:
                 gap = (now - self.last_token_at) / tokens
-                self.endpoint.slots.observe(gap)
+                self.endpoint.slots.record_gap(gap)
             self.last_token_at = now
         if self.run_request.call is not None:
             self.response_body += chunk
@@ -282,7 +282,7 @@
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the endpoint ended the stream without its last event",
                 Outcome.UNKNOWN,
             )
@@ -327,7 +327,7 @@
         number = first
         try:
             while self.reader is reader:
-                frames = self.replay_buffer.from_number(number)
+                frames = self.replay_buffer.frames_from(number)
                 if frames:
                     # One write for all frames saves system calls.
                     await write(b"".join(frame.encode() for frame in frames))
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -262,7 +262,9 @@
         return web.Response(text="not ready\n", status=503)
 
     async def _metrics_page(self, _: web.Request) -> web.Response:
-        return web.Response(body=self.metrics.page(), content_type="text/plain")
+        return web.Response(
+            body=self.metrics.prometheus_text(), content_type="text/plain"
+        )
 
     def _serve_metrics(self) -> AbstractAsyncContextManager:
         """Also serves the metrics page on `metrics_listen`, if it is set."""
@@ -294,7 +296,7 @@
         if isinstance(loaded, Err):
             logger.error("settings_refused", why=loaded.err_value)
             return
-        changed = self.settings.take_over(loaded.ok_value)
+        changed = self.settings.apply_changes(loaded.ok_value)
         logger.info("settings_reloaded", changed=changed)
 
     async def _watch_settings(self) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/cluster_manager.py
@@ -85,7 +85,7 @@
             entries = role.running_node.core.log.last_index
         return ControlHost(
             self.settings.name,
-            self.settings.reachable,
+            self.settings.advertised_address,
             self.settings.operator_listen,
             self.settings.zone,
             replica,
@@ -112,7 +112,7 @@
         if self.role.running_node is not None:
             membership = self.role.running_node.core.membership
             known |= set(membership.addresses.values())
-        return sorted(known - {self.settings.reachable})
+        return sorted(known - {self.settings.advertised_address})
 
     async def _announce_to(self, address: str) -> None:
         self.pending_announcements.add(address)
@@ -155,7 +155,7 @@
     def recent_addresses(self) -> list[str]:
         """Returns the addresses of this host and of recently seen hosts."""
         now = time.monotonic()
-        return [self.settings.reachable] + [
+        return [self.settings.advertised_address] + [
             address
             for address, at in self.last_received_at.items()
             if now - at < HOST_TIMEOUT_SECONDS
@@ -222,7 +222,7 @@
     async def _initialise_host(
         self, address: str, cluster: str, membership: Membership
     ) -> None:
-        if address == self.settings.reachable:
+        if address == self.settings.advertised_address:
             self.role.initialise(cluster, membership)
             return
         reply = await self.client.call(
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -127,7 +127,7 @@
         if self.running_node is not None:
             core = self.running_node.core
             if core.role is RaftRole.LEADER:
-                return self.settings.reachable
+                return self.settings.advertised_address
             address = core.membership.addresses.get(core.leader)
             if address:
                 return address
@@ -155,7 +155,9 @@
             self.storage,
             stored,
             PeerClients(
-                self.app.client, self.app.tasks, self.settings.reachable
+                self.app.client,
+                self.app.tasks,
+                self.settings.advertised_address,
             ),
             self.app.metrics,
             self.settings.snapshot_every,
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -253,7 +253,7 @@
         while True:
             leader = self.role.leader_address()
             result: Result = Err(no_quorum())
-            if leader == self.settings.reachable:
+            if leader == self.settings.advertised_address:
                 result = await call_locally(message)
             elif leader:
                 result = await self.client.call(
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -95,7 +95,7 @@
 
 def _raise_in_progress() -> None:
     raise_failure(
-        Kind.IN_PROGRESS,
+        Kind.CALL_IN_PROGRESS,
         "this call was started before and has no stored response yet; it is "
         "not started again. Retry with the same Idempotency-Key later; if "
         "this persists, check the service itself",
@@ -104,20 +104,20 @@
     )
 
 
-def _replay(answer: StoredResponse | None) -> web.Response:
-    if answer is None or answer.body is None:
+def _replay(stored: StoredResponse | None) -> web.Response:
+    if stored is None or stored.body is None:
         raise FleetError(
             failure(
-                Kind.CALL_UNKNOWN,
+                Kind.CALL_OUTCOME_UNKNOWN,
                 "this call was completed, but its response was too large to "
                 "be stored; check the service itself",
                 Outcome.COMPLETE,
             )
         )
     response = web.Response(
-        status=answer.status, body=base64.b64decode(answer.body)
+        status=stored.status, body=base64.b64decode(stored.body)
     )
-    copy_headers(answer.headers, response)
+    copy_headers(stored.headers, response)
     response.headers[OUTCOME_HEADER] = Outcome.COMPLETE.value
     response.headers[REPLAY_HEADER] = "true"
     return response
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -11,10 +11,13 @@
 from marjoramyard.coordination.fairness.totals import (
     Totals,
     TotalsDelta,
-    TotalsLink,
+    TotalsSync,
 )
 from marjoramyard.coordination.governance.directory import DirectoryRow
-from marjoramyard.coordination.serving.waiting import ServiceQueue, Waiting
+from marjoramyard.coordination.serving.request_queues import (
+    QueuedRequest,
+    ServiceQueue,
+)
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import (
@@ -74,7 +77,7 @@
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
-        self.link = TotalsLink(totals)
+        self.link = TotalsSync(totals)
         self.in_flight = 0
         self.sequence = 0
         self.offered: set[WorkspaceId] = set()
@@ -180,7 +183,7 @@
                 full; the request was not run.
         """
         self._check_limits(request)
-        item = Waiting(
+        item = QueuedRequest(
             request.workspace_id,
             request.request_class,
             time.monotonic(),
@@ -241,7 +244,7 @@
         """
         now = time.monotonic()
         workspace = WorkspaceId(message.workspace)
-        item = self.queue.take(workspace, now)
+        item = self.queue.pop(workspace, now)
         if item is None or item.payload.done():
             self._clear_offered_if_empty(workspace)
             return GrantReply(False)
@@ -366,7 +369,7 @@
             view.last_full_offer_at = time.monotonic()
         message = OfferMessage(
             self.app.incarnation,
-            self.app.settings.reachable,
+            self.app.settings.advertised_address,
             self.app.settings.zone,
             self.service,
             view.sequence,
@@ -398,14 +401,14 @@
         """
         is_new = not view.link.peer
         if is_new or random.random() * view.entries < 1.0:
-            return view.link.outgoing()
-        return view.link.outgoing(limit=0)
+            return view.link.make_delta()
+        return view.link.make_delta(limit=0)
 
     def _on_reply(self, view: AgentView, reply: OfferReply) -> None:
         view.free = reply.free
         view.entries = reply.entries
         if reply.totals is not None:
-            view.link.incoming(reply.totals)
+            view.link.apply_delta(reply.totals)
         if reply.leaving:
             view.row = msgspec.structs.replace(view.row, state="leaving")
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -9,7 +9,7 @@
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.sync_messages import SyncReply, SyncRequest
 from marjoramyard.kernel.logs import get_logger
-from marjoramyard.kernel.util.clocks import boot_seconds
+from marjoramyard.kernel.util.clocks import seconds_since_boot
 
 logger = get_logger(__name__)
 
@@ -58,7 +58,7 @@
     async def _poll(self, address: str) -> None:
         epoch, cursor, failures = "", 0, 0
         while failures < MAX_FAILURES or address in self.target_addresses():
-            sent_at = boot_seconds()
+            sent_at = seconds_since_boot()
             request = SyncRequest(
                 str(self.app.incarnation),
                 self.view.version,
@@ -66,7 +66,7 @@
                 cursor,
                 POLL_SECONDS if epoch else 0.0,
                 self.settings.name,
-                self.settings.reachable,
+                self.settings.advertised_address,
                 self._spare_capacity(),
             )
             result = await self.app.client.call(
--- a/packages/fleet/tests/test_daemon_command.py
+++ b/packages/fleet/tests/test_daemon_command.py
@@ -22,7 +22,7 @@
     for command in ("check", "run"):
         result = CliRunner().invoke(main, [command, str(path)])
         assert result.exit_code == EXIT_INVALID_SETTINGS
-        assert "remove it or mend its name" in result.output
+        assert "remove it or correct its name" in result.output
         assert len(result.output.splitlines()) == 1
 
 
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -158,9 +158,9 @@
 def test_an_agent_admits_no_order_before_it_knows_the_newest():
     """Guards against an old order after a restart of the agent."""
     guard = FencingGuard()
-    assert guard.admit(3).kind is Kind.STALE_ORDER
+    assert guard.admit(3).kind is Kind.STALE_FENCING_NUMBER
     guard.observe(5)
-    assert guard.admit(4).kind is Kind.STALE_ORDER
+    assert guard.admit(4).kind is Kind.STALE_FENCING_NUMBER
     assert guard.admit(5) is None
 
 
