--- a/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
@@ -121,11 +121,11 @@
         self,
         name: str,
         incarnation: Incarnation | None = None,
-        step: float = 0.0,
+        publish_threshold: float = 0.0,
     ):
         self.name = name
         self.incarnation = incarnation or name
-        self.step = step
+        self.publish_threshold = publish_threshold
         self.is_recovered = False
         self.unpublished: dict[WorkspaceId, float] = {}
         self.origins: dict[Incarnation, OriginRows] = {}
@@ -143,7 +143,7 @@
         self.sums[workspace] = self.sums.get(workspace, 0.0) + amount
         growth = self.unpublished.get(workspace, 0.0) + amount
         self.unpublished[workspace] = growth
-        if self.is_recovered and growth >= self.step:
+        if self.is_recovered and growth >= self.publish_threshold:
             self._publish(workspace)
 
     def _publish(self, workspace: WorkspaceId) -> None:
@@ -171,7 +171,7 @@
         if own is not None and last:
             own.version += RESTART_VERSION_GAP
         for workspace, growth in list(self.unpublished.items()):
-            if growth >= self.step:
+            if growth >= self.publish_threshold:
                 self._publish(workspace)
 
     def lift(self, workspace: WorkspaceId, value: float) -> None:
--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -151,7 +151,7 @@
             for key, request in list(engine.prefilling.items()):
                 if (
                     request.router in self.lagging_routers
-                    and now >= request.prefill_due_at
+                    and now >= request.expected_first_token_at
                 ):
                     self._mark_prefilled(engine, key, request, now)
 
@@ -175,10 +175,10 @@
         engine.running += 1
         engine.used_memory_tokens += request.memory_tokens
         is_timely = request.router not in self.lagging_routers
-        engine.start_prefill(
+        engine.add_prefill(
             request.prefill_tokens, request.granted_at, is_timely
         )
-        request.prefill_due_at = (
+        request.expected_first_token_at = (
             request.granted_at + engine.wait_ms + FIRST_TOKEN_LATENCY_MS
         )
         engine.prefix_cache.evict_to(
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -14,7 +14,7 @@
 USABLE_MEMORY_FRACTION = 0.85
 """Fraction of an engine's memory for running requests. An engine that runs
 out of memory preempts its newest request and prefills it again."""
-RATE_SMOOTHING = 0.2
+RATE_SAMPLE_WEIGHT = 0.2
 """Weight of a new sample in the moving average of the prefill rate."""
 MIN_SAMPLE_MS = 120.0
 """Shorter samples are dominated by the latency of reports."""
@@ -37,7 +37,7 @@
         granted_at: When the request was granted or reported, in ms.
         is_prefilling: Whether the prompt counts as not prefilled yet.
         router: The router that sends the request.
-        prefill_due_at: When the first token is expected, in ms.
+        expected_first_token_at: When the first token is expected, in ms.
     """
 
     endpoint: str
@@ -46,7 +46,7 @@
     granted_at: float
     is_prefilling: bool = True
     router: str = ""
-    prefill_due_at: float = 0.0
+    expected_first_token_at: float = 0.0
 
 
 class Engine:
@@ -56,7 +56,7 @@
         endpoint: The engine's endpoint.
         slots: How many requests it runs at the same time.
         memory_tokens: Its memory, in tokens; 0 if unlimited.
-        configured_rate: The initial prefill rate, in tokens per ms.
+        initial_rate: The initial prefill rate, in tokens per ms.
         rate: The estimated prefill rate, in tokens per ms.
         prefix_cache: The prompt parts that it is expected to have cached.
         running: The number of its requests in flight.
@@ -73,7 +73,7 @@
         self.endpoint = endpoint
         self.slots = profile.slots
         self.memory_tokens = profile.memory_tokens
-        self.configured_rate = rate
+        self.initial_rate = rate
         self.rate = rate
         self.prefix_cache = PrefixCache(profile.memory_tokens)
         self.running = 0
@@ -119,7 +119,7 @@
             <= self.memory_tokens * USABLE_MEMORY_FRACTION
         )
 
-    def start_prefill(
+    def add_prefill(
         self, tokens: float, now: float, is_timely: bool = True
     ) -> None:
         """Adds the prompt of a request that is being sent.
@@ -169,6 +169,6 @@
 
     def _update_rate(self, sample: float) -> None:
         low, high = RELATIVE_RATE_BOUNDS
-        sample = max(sample, low * self.configured_rate)
-        sample = min(sample, high * self.configured_rate)
-        self.rate += RATE_SMOOTHING * (sample - self.rate)
+        sample = max(sample, low * self.initial_rate)
+        sample = min(sample, high * self.initial_rate)
+        self.rate += RATE_SAMPLE_WEIGHT * (sample - self.rate)
--- a/packages/coordination/tests/fairness/test_totals.py
+++ b/packages/coordination/tests/fairness/test_totals.py
@@ -161,7 +161,7 @@
 @given(st.lists(st.floats(0.1, 30.0), max_size=60))
 def test_a_step_bounds_the_lag_of_peers_and_saves_messages(amounts):
     """Growth below the step is counted locally but not published."""
-    source, peer = Totals("a", step=50.0), Totals("b")
+    source, peer = Totals("a", publish_threshold=50.0), Totals("b")
     source.update_recovery({})
     sender, receiver = TotalsSync(source), TotalsSync(peer)
     messages = 0
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -107,7 +107,7 @@
     def _on_bundle(self) -> None:
         policy = self.membership.bundle.policy
         self.scheduler.policy = policy.fairness()
-        self.totals.step = policy.totals_step
+        self.totals.publish_threshold = policy.totals_step
         self.grant_free_slots()
 
     def _register_gauges(self) -> None:
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -20,7 +20,7 @@
 from marjoramyard.coordination.consensus.replica import RaftTimings, Role
 from marjoramyard.coordination.governance.commands import Command, Reply
 from marjoramyard.coordination.governance.state import ControlState
-from marjoramyard.fleet.control.peer_clients import PeerClients
+from marjoramyard.fleet.control.raft_transport import RaftTransport
 from marjoramyard.fleet.control.storage import Storage
 from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
 from marjoramyard.kernel.logs import get_logger
@@ -71,12 +71,12 @@
         self,
         storage: Storage,
         stored: StoredState,
-        peers: PeerClients,
+        transport: RaftTransport,
         metrics: Metrics,
         snapshot_every: int,
     ):
         self.storage = storage
-        self.peers = peers
+        self.transport = transport
         self.metrics = metrics
         self.snapshot_every = snapshot_every
         self.core = RaftCore(
@@ -129,7 +129,7 @@
 
     def receive(self, envelopes: list[Envelope]) -> None:
         """Passes messages of other replicas to the core."""
-        self.peers.learn_addresses(envelopes)
+        self.transport.record_reply_addresses(envelopes)
         for envelope in envelopes:
             self.core.receive(envelope)
         self.schedule_processing()
@@ -253,7 +253,9 @@
         while not (ready := self.core.take_ready()).is_empty:
             self._store(ready)
             self.core.mark_synced()
-            self.peers.send(ready.messages, self.core.membership.addresses)
+            self.transport.enqueue(
+                ready.messages, self.core.membership.addresses
+            )
             self._apply(ready)
         self._resolve_reads()
         self._report_role_change()
--- a/packages/fleet/src/marjoramyard/fleet/control/peer_clients.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/raft_transport.py
@@ -19,7 +19,7 @@
 _RETRY_DELAY_SECONDS = 0.2
 
 
-class PeerClient:
+class PeerSender:
     """Sends messages to one control host, in order and in batches.
 
     Messages that can't be delivered are dropped; the Raft core resends what
@@ -28,7 +28,7 @@
 
     def __init__(self, address: str, client: InternalClient):
         self.address = address
-        self.client = client
+        self.rpc_client = client
         self.queue: list[Envelope] = []
         self.has_queued = asyncio.Event()
 
@@ -46,7 +46,7 @@
             batch, self.queue = self.queue, []
             if not batch:
                 continue
-            sent = await self.client.call(
+            sent = await self.rpc_client.call(
                 self.address, RAFT_PATH, batch, Empty, _SEND_TIMEOUT_SECONDS
             )
             if isinstance(sent, Err):
@@ -54,19 +54,19 @@
                 await asyncio.sleep(_RETRY_DELAY_SECONDS)
 
 
-class PeerClients:
+class RaftTransport:
     """The clients of the other control hosts, by replica."""
 
     def __init__(
         self, client: InternalClient, tasks: TaskGroup, own_address: str
     ):
-        self.client = client
+        self.rpc_client = client
         self.tasks = tasks
         self.own_address = own_address
-        self.clients: dict[ReplicaId, PeerClient] = {}
+        self.senders: dict[ReplicaId, PeerSender] = {}
         self.reply_addresses: dict[ReplicaId, str] = {}
 
-    def learn_addresses(self, envelopes: list[Envelope]) -> None:
+    def record_reply_addresses(self, envelopes: list[Envelope]) -> None:
         """Records the reply addresses of senders.
 
         A host that has just joined holds no membership yet and replies to
@@ -76,7 +76,7 @@
             if envelope.reply_to:
                 self.reply_addresses[envelope.sender] = envelope.reply_to
 
-    def send(
+    def enqueue(
         self, envelopes: list[Envelope], addresses: dict[ReplicaId, str]
     ) -> None:
         """Queues messages for their receivers.
@@ -88,15 +88,15 @@
         """
         for envelope in envelopes:
             receiver = envelope.receiver
-            peer = self.clients.get(receiver)
+            peer = self.senders.get(receiver)
             if peer is None:
                 address = addresses.get(receiver) or self.reply_addresses.get(
                     receiver
                 )
                 if address is None:
                     continue
-                peer = PeerClient(address, self.client)
-                self.clients[receiver] = peer
+                peer = PeerSender(address, self.rpc_client)
+                self.senders[receiver] = peer
                 self.tasks.spawn(peer.run())
             peer.enqueue(
                 msgspec.structs.replace(envelope, reply_to=self.own_address)
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -29,8 +29,8 @@
 from marjoramyard.fleet.control.dialects import OPERATOR_DIALECTS
 from marjoramyard.fleet.control.fleet_routes import fleet_routes
 from marjoramyard.fleet.control.node import ControlNode
-from marjoramyard.fleet.control.peer_clients import PeerClients
 from marjoramyard.fleet.control.queries import QUERIES
+from marjoramyard.fleet.control.raft_transport import RaftTransport
 from marjoramyard.fleet.control.renewal_server import (
     CONFIRM_TIMEOUT_SECONDS,
     RenewalServer,
@@ -154,7 +154,7 @@
         self.running_node = ControlNode(
             self.storage,
             stored,
-            PeerClients(
+            RaftTransport(
                 self.app.client,
                 self.app.tasks,
                 self.settings.advertised_address,
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -298,14 +298,14 @@
                         **counts,
                     )
 
-    def wait_seconds(self) -> list[tuple[float, Labels]]:
+    def mean_wait_seconds(self) -> list[tuple[float, Labels]]:
         """Returns the mean estimated wait at the engines, by service."""
         return [
             (broker.mean_wait_ms / 1000, {"service": service})
             for service, broker in self.brokers.items()
         ]
 
-    def requests(self) -> list[tuple[float, Labels]]:
+    def request_counts(self) -> list[tuple[float, Labels]]:
         """Returns the number of requests, by service and state."""
         return [
             (float(count), {"service": service, "state": state})
--- a/packages/fleet/src/marjoramyard/fleet/gateway/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/role.py
@@ -146,8 +146,10 @@
         brokers = BrokerClients(app.tasks, view, to_brokers, app.metrics)
         handler = RequestHandler(view, session, brokers, app)
         broker_server = BrokerServer(view)
-        app.metrics.gauge("broker_wait_seconds", broker_server.wait_seconds)
-        app.metrics.gauge("broker_requests", broker_server.requests)
+        app.metrics.gauge(
+            "broker_wait_seconds", broker_server.mean_wait_seconds
+        )
+        app.metrics.gauge("broker_requests", broker_server.request_counts)
         app.tasks.spawn(broker_server.send_heartbeats_forever())
         app.tasks.spawn(broker_server.log_load_forever())
         app.tasks.spawn(handler.log_overload_forever())
