--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -48,7 +48,7 @@
         refusals: Recent refusals that still hold.
         liveness: Expires when the broker sends nothing for too long.
         last_number: The number of the last request.
-        pending: Place requests without a reply, by number.
+        pending: Placement requests without a reply, by number.
         running: Requests at endpoints, by number.
         outbox: Messages to be sent in the next frame.
     """
@@ -167,7 +167,7 @@
     async def place(
         self, caller: CallerRequest, service: Service, excluded: set[str]
     ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
-        """Requests a place for a request from the broker.
+        """Requests the placement of a request from the broker.
 
         Args:
             caller: The request.
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_server.py
@@ -1,4 +1,7 @@
-"""The broker side of the broker protocol: one queue for each service."""
+"""WebSocket server through which gateways request placement.
+
+There is one `Broker` for each service that has engines.
+"""
 
 import asyncio
 import time
@@ -37,43 +40,61 @@
 logger = get_logger(__name__)
 
 GATEWAY_TIMEOUT_SECONDS = 0.3
-"""A gateway from which nothing was received for so long is suspended: it gets
-no further grants until its next message. Longer than the scheduling pauses
-of a host with little CPU."""
+"""Gateways that send nothing for this long get no grants until their next
+message. Gateways without queued requests or prompts being prefilled send no
+heartbeats; they have nothing to suspend."""
 LOG_INTERVAL_SECONDS = 1.0
 
 
 class GatewayConnection:
-    """A gateway that is connected to this broker.
+    """The connection of one gateway.
+
+    To the brokers, each connection is a router.
 
     Attributes:
         number: Identifies the connection on this host.
         outbox: Messages to be sent in the next frame.
-        requests: The service of each request, by the gateway's number of it.
-        liveness: Expires when the gateway sends nothing for too long.
+        services: Services of the queued, granted and unbrokered requests, by
+            the number that the gateway gave the request.
+        liveness: Expires when nothing is received within
+            `GATEWAY_TIMEOUT_SECONDS`.
     """
 
     def __init__(self, number: int, socket: web.WebSocketResponse):
         self.number = number
         self.socket = socket
         self.outbox: list[BrokerMessage] = []
-        self.requests: dict[int, str] = {}
+        self.services: dict[int, str] = {}
         self.liveness = LivenessTimer(
             GATEWAY_TIMEOUT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
         )
 
     @property
-    def name(self) -> str:
-        """The name of the gateway at the brokers."""
+    def router(self) -> str:
+        """The name that identifies the gateway to the brokers."""
         return str(self.number)
 
     def key(self, number: int) -> str:
-        """Returns a request's key, unique among all gateways' requests."""
+        """Returns a request's key, unique among the requests of all gateways.
+
+        Args:
+            number: The number that the gateway gave the request.
+        """
         return f"{self.number}/{number}"
 
 
 class BrokerServer:
-    """Runs the brokers of the services that gateways request places for."""
+    """Serves gateways and runs the broker of each service they use.
+
+    Decisions of the brokers are collected in the outboxes of the gateways and
+    sent by a scheduled dispatch.
+
+    Attributes:
+        brokers: The brokers, by service.
+        gateways: The open connections, by number.
+        last_gateway_number: Number of the newest connection.
+        dispatch_scheduled: Whether a dispatch is scheduled on the event loop.
+    """
 
     def __init__(self, view: FleetView):
         self.view = view
@@ -92,7 +113,7 @@
         try:
             async for frame in socket:
                 if frame.type is aiohttp.WSMsgType.TEXT:
-                    self._on_activity(gateway)
+                    self._resume_and_reset_timer(gateway)
                     for message in gateway_message_decoder.decode(frame.data):
                         self._on_message(gateway, message)
                     self._schedule_dispatch()
@@ -102,45 +123,57 @@
             )
         finally:
             del self.gateways[gateway.number]
-            self._remove(gateway)
+            self._end_requests(gateway)
         return socket
 
-    def _on_activity(self, gateway: GatewayConnection) -> None:
+    def _resume_and_reset_timer(self, gateway: GatewayConnection) -> None:
         if gateway.liveness.has_expired:
             for broker in self.brokers.values():
-                broker.resume(gateway.name)
+                broker.resume(gateway.router)
         gateway.liveness.reset()
 
-    def _check_liveness(self, gateway: GatewayConnection) -> None:
+    def _suspend_if_expired(self, gateway: GatewayConnection) -> None:
         had_expired = gateway.liveness.has_expired
         gateway.liveness.tick()
         if gateway.liveness.has_expired and not had_expired:
             for broker in self.brokers.values():
-                broker.suspend(gateway.name, _now())
+                broker.suspend(gateway.router, _now_ms())
 
-    def _remove(self, gateway: GatewayConnection) -> None:
-        """Removes the requests of a disconnected gateway.
+    def _end_requests(self, gateway: GatewayConnection) -> None:
+        """Removes all requests of a disconnected gateway.
 
-        Its connections to endpoints are closed as well, so its requests have
-        ended.
+        The gateway is assumed to have exited, which ends its requests at the
+        endpoints. A gateway that is still running reports its requests in
+        flight when it reconnects.
         """
         for broker in self.brokers.values():
-            broker.set_lagging(gateway.name, False)
-        for number, service in gateway.requests.items():
+            broker.set_lagging(gateway.router, False)
+        for number, service in gateway.services.items():
             broker = self.brokers[service]
+            # The request may be queued or granted.
             broker.cancel(gateway.key(number))
             broker.finish(gateway.key(number))
         self._schedule_dispatch()
 
-    def _broker(self, service: str) -> Broker | None:
+    def _refresh_broker(self, service: str) -> Broker | None:
+        """Returns a service's broker with its current engines.
+
+        Creates the broker if needed.
+
+        Returns:
+            The broker, or None if there is no configuration yet, or the
+            service is unknown or has no engines.
+        """
         table = self.view.table
         configured = table.services.get(service) if table is not None else None
         if configured is None or configured.engine is None:
             return None
         broker = self.brokers.get(service)
         if broker is None:
-            engines = len(self.view.registrations.usable(service))
-            rate = estimate_prefill_rate(table.config, engines)
+            # All ready engines count here, including unresponsive ones and
+            # those in backoff.
+            ready_count = len(self.view.registrations.usable(service))
+            rate = estimate_prefill_rate(table.config, ready_count)
             broker = Broker(configured.engine, rate)
             self.brokers[service] = broker
             logger.info("brokering", service=service, rate=round(rate, 1))
@@ -151,9 +184,14 @@
     def _on_message(
         self, gateway: GatewayConnection, message: GatewayMessage
     ) -> None:
+        """Applies a message to the broker of its request.
+
+        `is_late` in a message means that the gateway is lagging, so that its
+        reports are delayed. Messages about unknown requests are ignored.
+        """
         if isinstance(message, Heartbeat):
             for broker in self.brokers.values():
-                broker.set_lagging(gateway.name, message.is_late)
+                broker.set_lagging(gateway.router, message.is_late)
             return
         if isinstance(message, PlaceRequest):
             self._submit(gateway, message)
@@ -161,20 +199,21 @@
         if isinstance(message, RunningRequest):
             self._add_unbrokered(gateway, message)
             return
-        service = gateway.requests.get(message.number)
+        service = gateway.services.get(message.number)
         if service is None:
             return
         broker = self.brokers[service]
         key = gateway.key(message.number)
         if isinstance(message, FirstToken):
-            broker.record_first_token(key, _now(), not message.is_late)
+            broker.record_first_token(key, _now_ms(), not message.is_late)
         elif isinstance(message, Withdraw):
+            # The request may be queued or granted.
             broker.cancel(key)
             broker.finish(key)
-            del gateway.requests[message.number]
+            del gateway.services[message.number]
         elif isinstance(message, Finished):
             self._on_finished(broker, key, message)
-            del gateway.requests[message.number]
+            del gateway.services[message.number]
 
     def _on_finished(self, broker: Broker, key: str, message: Finished) -> None:
         in_flight = broker.in_flight.get(key)
@@ -187,11 +226,13 @@
     def _submit(
         self, gateway: GatewayConnection, message: PlaceRequest
     ) -> None:
-        broker = self._broker(message.service)
+        broker = self._refresh_broker(message.service)
         if broker is None:
+            # The gateway applies its minimum retry delay and does not cache
+            # the refusal.
             gateway.outbox.append(PlaceRefusal(message.number, 0.0, 0.0))
             return
-        now = _now()
+        now = _now_ms()
         placement_request = PlacementRequest(
             key=gateway.key(message.number),
             workspace=message.workspace,
@@ -201,20 +242,25 @@
             deadline_at=now + message.left_ms,
             submitted_at=now,
             excluded_endpoints=frozenset(message.without),
-            router=gateway.name,
+            router=gateway.router,
         )
         refusal = broker.submit(placement_request, now)
         if refusal is not None:
-            self._send_refusal(gateway, message.number, refusal)
+            self._queue_refusal(gateway, message.number, refusal)
         else:
-            gateway.requests[message.number] = message.service
+            gateway.services[message.number] = message.service
 
     def _add_unbrokered(
         self, gateway: GatewayConnection, message: RunningRequest
     ) -> None:
-        broker = self._broker(message.service)
+        """Adds a request that was sent without a grant of this broker.
+
+        Gateways place requests themselves while no broker responds, and report
+        all their requests in flight when they connect.
+        """
+        broker = self._refresh_broker(message.service)
         if broker is not None:
-            gateway.requests[message.number] = message.service
+            gateway.services[message.number] = message.service
             unbrokered = UnbrokeredRequest(
                 key=gateway.key(message.number),
                 endpoint=message.endpoint,
@@ -222,12 +268,12 @@
                 memory_tokens=message.memory,
                 workspace=message.workspace,
                 output_tokens=message.output_tokens,
-                router=gateway.name,
+                router=gateway.router,
             )
-            broker.add_unbrokered(unbrokered, _now())
+            broker.add_unbrokered(unbrokered, _now_ms())
 
     @staticmethod
-    def _send_refusal(
+    def _queue_refusal(
         gateway: GatewayConnection, number: int, refusal: PlacementRefusal
     ) -> None:
         gateway.outbox.append(
@@ -240,30 +286,34 @@
         )
 
     def _schedule_dispatch(self) -> None:
+        """Dispatches once for all messages of one event loop iteration."""
         if not self.dispatch_scheduled:
             self.dispatch_scheduled = True
             asyncio.get_running_loop().call_soon(self._dispatch)
 
     def _dispatch(self) -> None:
+        """Runs all brokers and sends the outboxes of all gateways."""
         self.dispatch_scheduled = False
-        now = _now()
+        now = _now_ms()
         for service, broker in self.brokers.items():
-            if self._broker(service) is None:
+            if self._refresh_broker(service) is None:
                 continue
             for decision in [*broker.expire(now), *broker.dispatch(now)]:
-                self._notify(decision)
+                self._queue_decision(decision)
         for gateway in self.gateways.values():
             self._flush(gateway)
 
-    def _notify(self, decision: PlacementGrant | PlacementRefusal) -> None:
+    def _queue_decision(
+        self, decision: PlacementGrant | PlacementRefusal
+    ) -> None:
         gateway_number, _, request_number = decision.key.partition("/")
         gateway = self.gateways.get(int(gateway_number))
         if gateway is None:
             return
         number = int(request_number)
         if isinstance(decision, PlacementRefusal):
-            gateway.requests.pop(number, None)
-            self._send_refusal(gateway, number, decision)
+            gateway.services.pop(number, None)
+            self._queue_refusal(gateway, number, decision)
             return
         gateway.outbox.append(
             PlaceGrant(
@@ -283,7 +333,7 @@
             task.add_done_callback(_log_send_failure)
 
     async def log_load_forever(self) -> None:
-        """Logs the load of each broker that has requests, once a second."""
+        """Logs the load of brokers with requests until cancelled."""
         while True:
             await asyncio.sleep(LOG_INTERVAL_SECONDS)
             for service, broker in self.brokers.items():
@@ -299,7 +349,7 @@
                     )
 
     def mean_wait_seconds(self) -> list[tuple[float, Labels]]:
-        """Returns the mean estimated wait at the engines, by service."""
+        """Returns the mean expected wait for a prefill, by service."""
         return [
             (broker.mean_wait_ms / 1000, {"service": service})
             for service, broker in self.brokers.items()
@@ -314,11 +364,14 @@
         ]
 
     async def send_heartbeats_forever(self) -> None:
-        """Sends heartbeats to all gateways and checks theirs."""
+        """Sends heartbeats, and suspends unresponsive gateways.
+
+        Runs until cancelled.
+        """
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             for gateway in self.gateways.values():
-                self._check_liveness(gateway)
+                self._suspend_if_expired(gateway)
                 gateway.outbox.append(Heartbeat())
             self._schedule_dispatch()
 
@@ -328,5 +381,5 @@
         logger.info("broker_reply_failed", why=repr(task.exception()))
 
 
-def _now() -> float:
+def _now_ms() -> float:
     return time.monotonic() * 1000
--- a/packages/fleet/tests/gateway/test_broker_client.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -1,4 +1,4 @@
-"""Requests for places while the gateway or the broker is slow."""
+"""Placement requests while the gateway or the broker is slow."""
 
 import asyncio
 import contextlib
--- a/packages/fleet/tests/gateway/test_broker_server.py
+++ b/packages/fleet/tests/gateway/test_broker_server.py
@@ -68,7 +68,7 @@
         yield socket
 
 
-async def request_place(socket, number, workspace, tokens=1800):
+async def request_placement(socket, number, workspace, tokens=1800):
     part = (f"{workspace}-{number}", tokens)
     request = PlaceRequest(
         number, "llm", workspace, [part], 10, OBJECTIVE_MS, TIMEOUT_MS
@@ -111,9 +111,9 @@
         connected(broker_url) as responsive,
     ):
         for number in range(1, 9):
-            await request_place(unresponsive, number, "large")
+            await request_placement(unresponsive, number, "large")
         assert isinstance(await receive_reply(unresponsive, 1), PlaceGrant)
-        await request_place(responsive, 1, "small")
+        await request_placement(responsive, 1, "small")
         async with (
             sending_heartbeats(responsive),
             asyncio.timeout(OBJECTIVE_MS / 1000),
@@ -130,9 +130,9 @@
         connected(broker_url) as responsive,
     ):
         for number in range(1, 9):
-            await request_place(recovering, number, "large")
+            await request_placement(recovering, number, "large")
         assert isinstance(await receive_reply(recovering, 2), PlaceGrant)
-        await request_place(responsive, 1, "small")
+        await request_placement(responsive, 1, "small")
         async with sending_heartbeats(responsive):
             assert isinstance(await receive_reply(responsive, 1), PlaceGrant)
         async with (
