--- a/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
@@ -79,10 +79,10 @@
     """Serves the backlogged workspace with the least virtual time.
 
     A workspace's virtual time is its service divided by its share, plus its
-    lift and its reservations. It decreases only when a reservation is
-    released, which updates the heap. The keys in the heap are therefore
-    lower bounds and are refreshed when they reach the top, so that charging
-    needs no heap update and a choice takes amortized O(log n) time.
+    lift (see `totals`) and its reservations. It decreases only when a
+    reservation is released, which updates the heap. The keys in the heap are
+    therefore lower bounds and are refreshed when they reach the top, so that
+    charging needs no heap update and a choice takes amortized O(log n) time.
     """
 
     def __init__(
--- a/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/totals.py
@@ -1,4 +1,15 @@
-"""Replicated service totals: grow-only counters, one set per process."""
+"""Replicated totals of the service that workspaces received.
+
+Service means work done for a workspace, in service units. The totals are a
+state-based grow-only counter: each host is an origin, and its process writes
+only the rows of that origin. A row holds the values of one workspace at one
+origin. Rows are merged by maximum, so messages may be lost, repeated or
+reordered.
+
+A row has two values: the service that the workspace received, and its lift. The
+lift is an offset of virtual time. It is raised when a workspace was idle, so
+that it gains no credit, or when it lags by more than the credit limit.
+"""
 
 import msgspec
 
@@ -6,20 +17,22 @@
 
 DEFAULT_ROW_LIMIT = 400
 RESTART_VERSION_GAP = 1_000_000
-"""Must exceed the number of changes between two exchanges with a peer."""
+"""Added to the recovered version after a restart. Must exceed the number of
+changes that the peer recovered from can have missed before the restart."""
 _WIRE_DECIMALS = 1
 """Decimal places of service units in messages."""
 
 
 class OriginDelta(msgspec.Struct, array_like=True):
-    """Changes to one origin's rows between two versions.
+    """Rows of one origin that changed between two versions.
 
     Attributes:
         since: Version of the origin before the changes.
         upto: Version of the origin after the changes.
         served: Cumulative service of the changed workspaces, in service
             units.
-        lifts: Lifts of the changed workspaces, in service units per share.
+        lifts: Lifts of the changed workspaces that have one, in service units
+            per share.
     """
 
     since: int
@@ -33,7 +46,8 @@
 
     Attributes:
         sender: Incarnation of the sending process.
-        held: Version of each origin that the sender holds.
+        held: Version of each origin that the sender holds. Origins are typed
+            as incarnations, but are named after their host.
         origins: Changed rows by origin.
     """
 
@@ -43,7 +57,16 @@
 
 
 class OriginRows:
-    """Rows of one origin, ordered by their last change."""
+    """Rows of one origin, ordered by their last change.
+
+    Attributes:
+        version: The version up to which the rows are complete.
+        last_change_version: The largest version of a row. It exceeds `version`
+            if earlier rows are missing.
+        served: Cumulative service by workspace, in service units.
+        lifts: Lift by workspace, in service units per share.
+        changed_at: Version of each row, in ascending order.
+    """
 
     def __init__(self):
         self.version = 0
@@ -53,10 +76,10 @@
         self.changed_at: dict[WorkspaceId, int] = {}
 
     def mark_changed(self, workspace: WorkspaceId, version: int) -> None:
-        """Records the version at which a workspace's rows last changed.
+        """Records that a workspace's row changed at a version.
 
-        The entry is re-inserted and versions never decrease, so that
-        `changed_at` stays sorted by version.
+        The entry is inserted again at the end. A version below the last one is
+        raised to it, so that `changed_at` stays sorted.
         """
         self.last_change_version = max(self.last_change_version, version)
         self.changed_at.pop(workspace, None)
@@ -65,17 +88,17 @@
     def changes_since(self, since: int, limit: int) -> OriginDelta | None:
         """Returns the rows changed since a version, oldest first.
 
-        Rows that arrived in one message share a version and are always sent
-        together, even beyond the limit. Otherwise the peer would record
-        their version and never receive the rest.
+        Rows that arrived in one message share a version and are never split.
+        Otherwise the receiver would record their version and never receive the
+        rest.
 
         Args:
             since: Version that the receiver holds.
-            limit: Maximum number of workspaces, but for rows that share a
-                version.
+            limit: Number of rows after which the delta ends; exceeded by rows
+                that share a version.
 
         Returns:
-            The changes, or None if there are none.
+            The changed rows, or None if the receiver is up to date.
         """
         found = []
         for workspace in reversed(self.changed_at):
@@ -99,22 +122,26 @@
 
 
 class Totals:
-    """Service received by each workspace of one service, by origin.
-
-    Each process writes only the rows under its own name, and rows only
-    grow. They are merged by maximum, so that messages may be lost, repeated
-    or reordered.
+    """Work done for each workspace by the endpoints of one service.
 
-    Origins are named after the host rather than the incarnation, so that
-    restarts do not add origins. A restarted process first recovers its
-    previous rows from a peer, and publishes no service until then.
+    Origins are typed as incarnations, but are named after their host, so that
+    restarts don't add origins. A restarted process first recovers its previous
+    rows from a peer, and publishes no service until then.
 
     Attributes:
         name: Name of this process's origin, which survives restarts.
         incarnation: Incarnation of the process.
-        step: Growth, in service units, after which a row is published.
-            Larger steps save messages; each agent adds one step to the
-            fairness bound.
+        publish_threshold: Service units by which a row must grow before it is
+            published. A larger threshold saves messages, but each agent adds
+            it once to the fairness bound.
+        is_recovered: Whether the rows from before a restart were received, so
+            that service may be published.
+        unpublished: Service that is in `sums` but not yet in the own rows, by
+            workspace.
+        origins: The rows, by origin.
+        sums: Service received from all origins, by workspace, including
+            unpublished service.
+        lifts: The largest lift of all origins, by workspace.
     """
 
     def __init__(
@@ -132,14 +159,18 @@
         self.sums: dict[WorkspaceId, float] = {}
         self.lifts: dict[WorkspaceId, float] = {}
 
-    def _origin(self, name: Incarnation) -> OriginRows:
+    def _get_or_create_rows(self, name: Incarnation) -> OriginRows:
         rows = self.origins.get(name)
         if rows is None:
             rows = self.origins[name] = OriginRows()
         return rows
 
     def add(self, workspace: WorkspaceId, amount: float) -> None:
-        """Charges service, in service units, to a workspace."""
+        """Adds service received by a workspace, in service units.
+
+        It counts in `sums` at once, and is published when the recovery has
+        ended and the threshold is reached.
+        """
         self.sums[workspace] = self.sums.get(workspace, 0.0) + amount
         growth = self.unpublished.get(workspace, 0.0) + amount
         self.unpublished[workspace] = growth
@@ -147,18 +178,20 @@
             self._publish(workspace)
 
     def _publish(self, workspace: WorkspaceId) -> None:
+        """Moves a workspace's unpublished service to its own row."""
         growth = self.unpublished.pop(workspace)
-        own = self._origin(self.name)
+        own = self._get_or_create_rows(self.name)
         own.version += 1
         own.mark_changed(workspace, own.version)
         own.served[workspace] = own.served.get(workspace, 0.0) + growth
 
     def update_recovery(self, held: dict[Incarnation, int]) -> None:
-        """Ends the recovery once a peer has sent all own rows that it holds.
+        """Ends the recovery if all own rows that a peer holds were received.
 
-        Other peers may hold later versions from before the restart, and
-        would ignore new rows with the same versions. New versions therefore
-        start at a distance from the recovered one.
+        Service counted since the restart is then published where it reaches the
+        threshold. Other peers may hold later versions from before the restart,
+        and would not be sent new rows with the same versions. New versions
+        therefore start `RESTART_VERSION_GAP` above the recovered one.
 
         Args:
             held: Versions by origin that the peer holds.
@@ -175,30 +208,36 @@
                 self._publish(workspace)
 
     def lift(self, workspace: WorkspaceId, value: float) -> None:
-        """Raises the workspace's lift to at least `value`."""
+        """Raises a workspace's lift to at least `value` and publishes it.
+
+        Args:
+            workspace: The workspace.
+            value: The lift, in service units per share.
+        """
         if value <= self.lifts.get(workspace, 0.0):
             return
-        own = self._origin(self.name)
+        own = self._get_or_create_rows(self.name)
         own.version += 1
         own.mark_changed(workspace, own.version)
         own.lifts[workspace] = value
         self.lifts[workspace] = value
 
     def virtual_time(self, workspace: WorkspaceId, share: float) -> float:
-        """Returns the virtual time: service per share plus the lift."""
+        """Returns a workspace's virtual time: service per share plus lift."""
         served = self.sums.get(workspace, 0.0) / share
         return served + self.lifts.get(workspace, 0.0)
 
     def merge(self, name: Incarnation, delta: OriginDelta) -> None:
-        """Merges an origin's rows.
+        """Merges rows of an origin that a peer sent.
 
-        If rows before `delta.since` are missing, the rows are merged but
-        the version is kept, so that peers send the missing ones again.
+        If the version held is below `delta.since`, earlier rows are missing.
+        The rows of the delta are merged, but the version is kept, so that peers
+        send the missing ones.
         """
         if name == self.name:
             self._merge_own_rows(delta)
             return
-        rows = self._origin(name)
+        rows = self._get_or_create_rows(name)
         for workspace in self._merge_rows(rows, delta):
             rows.mark_changed(workspace, delta.upto)
         if delta.since <= rows.version:
@@ -206,10 +245,11 @@
 
     def _merge_own_rows(self, delta: OriginDelta) -> None:
         """Merges rows that this process published before a restart."""
-        own = self._origin(self.name)
+        own = self._get_or_create_rows(self.name)
         changed = self._merge_rows(own, delta)
         if self.is_recovered:
-            # This peer held later rows than the one recovered from.
+            # The peer recovered from lacked these rows. They get a new version
+            # so that other peers are sent them too.
             own.version += 1
         elif delta.since <= own.version:
             own.version = max(own.version, delta.upto)
@@ -219,6 +259,11 @@
     def _merge_rows(
         self, rows: OriginRows, delta: OriginDelta
     ) -> set[WorkspaceId]:
+        """Merges rows by maximum.
+
+        Returns:
+            The workspaces whose rows changed.
+        """
         changed = set()
         for workspace in delta.served.keys() | delta.lifts.keys():
             before = rows.served.get(workspace), rows.lifts.get(workspace)
@@ -245,7 +290,7 @@
             self.lifts[workspace] = max(self.lifts.get(workspace, 0.0), value)
 
     def held(self) -> dict[Incarnation, int]:
-        """Returns the version held of each origin."""
+        """Returns the version held of each origin, without empty origins."""
         return {
             name: rows.version
             for name, rows in self.origins.items()
@@ -254,11 +299,16 @@
 
 
 class TotalsSync:
-    """Exchange of totals with one peer.
+    """Exchanges totals with one peer.
 
-    Each message states all versions that its sender holds. A lost message
-    is therefore made up for by the next, and rows that the peer has from
-    others are not sent to it.
+    Each message states all versions that its sender holds. Rows of a lost
+    message are therefore sent again in the next one, and rows that the peer has
+    received from others are not sent to it.
+
+    Attributes:
+        totals: The totals of this process.
+        peer: Incarnation of the peer; empty before its first message.
+        peer_versions: Version of each origin that the peer is known to hold.
     """
 
     def __init__(self, totals: Totals):
@@ -270,7 +320,8 @@
         """Returns a message with the rows that the peer lacks.
 
         Args:
-            limit: Maximum number of rows, but for rows that share a version.
+            limit: Number of rows after which the message ends; exceeded by rows
+                that share a version. With 0 it has only the versions held.
         """
         found: dict[Incarnation, OriginDelta] = {}
         for name, rows in self.totals.origins.items():
@@ -288,8 +339,9 @@
     def apply_delta(self, delta: TotalsDelta) -> None:
         """Merges the peer's rows and records the versions that it holds.
 
-        A restarted peer has a new incarnation and has lost its rows: the
-        versions recorded before are dropped, so that it gets all rows again.
+        A restarted peer has a new incarnation and has lost its rows. The
+        versions recorded for its previous incarnation are dropped, so that it
+        is sent the rows again.
         """
         if delta.sender == self.peer:
             for name, version in delta.held.items():
@@ -298,6 +350,6 @@
         else:
             self.peer = delta.sender
             self.peer_versions = dict(delta.held)
-        for name, rows in delta.origins.items():
-            self.totals.merge(name, rows)
+        for name, origin_delta in delta.origins.items():
+            self.totals.merge(name, origin_delta)
         self.totals.update_recovery(delta.held)
--- a/packages/coordination/tests/fairness/test_totals.py
+++ b/packages/coordination/tests/fairness/test_totals.py
@@ -1,4 +1,4 @@
-"""Totals converge although messages are lost, repeated or reordered."""
+"""Convergence of totals if messages are lost, repeated or reordered."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -95,7 +95,7 @@
 
 
 def test_nothing_is_published_before_the_recovery():
-    """Rows counted from 0 would be smaller than those held, and ignored."""
+    """New rows would be smaller than those that peers hold, and ignored."""
     agent = Totals("agent", "agent~2")
     agent.add("w", 5.0)
     agent.update_recovery({"agent": 7})
@@ -159,8 +159,8 @@
 
 
 @given(st.lists(st.floats(0.1, 30.0), max_size=60))
-def test_a_step_bounds_the_lag_of_peers_and_saves_messages(amounts):
-    """Growth below the step is counted locally but not published."""
+def test_a_threshold_bounds_the_lag_of_peers_and_saves_messages(amounts):
+    """Growth below the threshold is counted locally but not published."""
     source, peer = Totals("a", publish_threshold=50.0), Totals("b")
     source.update_recovery({})
     sender, receiver = TotalsSync(source), TotalsSync(peer)
@@ -184,8 +184,8 @@
     assert "s" not in totals.held()
 
 
-def test_a_recovery_in_parts_is_awaited():
-    """New versions after the first part would hide the missing rows."""
+def test_nothing_is_published_until_all_parts_are_recovered():
+    """Publishing after the first part would hide the missing rows."""
     entry = Totals("entry")
     first = Totals("agent", "agent~1")
     link, first_sync = TotalsSync(entry), TotalsSync(first)
@@ -223,5 +223,5 @@
     exchange(*links)
     second.add("w", 100.0)
     exchange(*links)
-    # Service that only the other entry had received is lost.
+    # The service that only the other entry knew of is lost.
     assert more.sums["w"] == second.sums["w"] == 110.0
