--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -21,7 +21,7 @@
 
     Attributes:
         profile: The properties shared by all engines.
-        rate: The configured prefill rate of an engine, in tokens per ms.
+        rate: The initial prefill rate of an engine, in tokens per ms.
         engines: The engines, by endpoint.
         in_flight: Requests that engines have, by key.
         lagging_routers: Routers that send requests and reports with delay.
@@ -78,7 +78,7 @@
         Args:
             key: The request.
             now: When the report arrived.
-            is_timely: Whether the report arrived without delay, so that it
+            is_timely: Whether the router is not lagging, so that the report
                 may be used to estimate the engine's rate.
         """
         request = self.in_flight.get(key)
@@ -146,7 +146,7 @@
             self.lagging_routers.discard(router)
 
     def finish_expected_prefills(self, now: float) -> None:
-        """Marks due prompts of lagging routers as prefilled."""
+        """Marks prompts of lagging routers as prefilled when expected."""
         for engine in self.engines.values():
             for key, request in list(engine.prefilling.items()):
                 if (
--- a/packages/coordination/src/marjoramyard/coordination/placement/engines.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engines.py
@@ -1,4 +1,4 @@
-"""A broker's view of one engine, and the estimate of its prefill rate."""
+"""A broker's model of one engine, and the estimate of its prefill rate."""
 
 import msgspec
 
@@ -6,37 +6,41 @@
 from marjoramyard.coordination.routing.config import EngineProfile
 
 MAX_BACKLOG_MS = 60.0
-"""Expected prefill time up to which an engine gets further requests. It covers
-the delay between a first token and the arrival of the next request. Further
-requests stay in the broker's queue, where they can still be reordered."""
+"""An engine gets further requests while its backlog is expected to take at most
+this time. Others stay in the broker's queues, where they can be reordered."""
 USABLE_SLOT_FRACTION = 0.95
-"""Fraction of an engine's slots to use; the rest covers reports in transit."""
+"""Fraction of an engine's slots to use. The rest is left for requests sent
+without a grant that have not been reported to the broker yet."""
 USABLE_MEMORY_FRACTION = 0.85
-"""Fraction of an engine's memory for running requests. An engine that runs
+"""Fraction of an engine's memory for requests in flight. An engine that runs
 out of memory preempts its newest request and prefills it again."""
 RATE_SAMPLE_WEIGHT = 0.2
 """Weight of a new sample in the moving average of the prefill rate."""
 MIN_SAMPLE_MS = 120.0
-"""Shorter samples are dominated by the latency of reports."""
+"""Shorter samples are continued, as the latency of reports dominates them."""
 MIN_SAMPLE_TOKENS = 500.0
-"""Fewer tokens fit into a single step of the engine at any rate."""
+"""Smaller samples are continued. An engine prefills so few tokens in a single
+step, so their duration does not depend on its rate."""
 RELATIVE_RATE_BOUNDS = (0.05, 3.0)
-"""Plausible range of a sampled rate, relative to the configured rate."""
+"""Range to which samples are clamped, relative to the initial rate."""
 FIRST_TOKEN_LATENCY_MS = 25.0
-"""From the end of a prefill to the first event at the caller, including the
-network."""
+"""Time from the end of a prefill until the first event reaches the caller. A
+sample that starts with an idle engine starts that much later, as its end is
+also reported with this latency."""
 
 
 class InFlightRequest(msgspec.Struct):
     """A request that was granted or sent to an engine and has not ended.
 
     Attributes:
-        endpoint: The engine.
+        endpoint: The engine's endpoint.
         prefill_tokens: Prompt tokens that the engine has to prefill.
-        memory_tokens: The engine memory that the request occupies.
-        granted_at: When the request was granted or reported, in ms.
-        is_prefilling: Whether the prompt counts as not prefilled yet.
-        router: The router that sends the request.
+        memory_tokens: The engine memory that the request occupies, in tokens.
+        granted_at: When the request was granted, or reported by its router if
+            it was sent without a grant, in ms.
+        is_prefilling: Whether the prompt is in the engine's backlog. A prompt
+            may be removed from it before its first token is reported.
+        router: The router that sends the request (a gateway).
         expected_first_token_at: When the first token is expected, in ms.
     """
 
@@ -50,7 +54,11 @@
 
 
 class Engine:
-    """A broker's view of one engine.
+    """A broker's model of one engine.
+
+    `EnginePool` maintains `running`, `prefilling`, `used_memory_tokens` and
+    `is_usable`, and removes the prompts of requests that end before their
+    prefill from `prefill_tokens`.
 
     Attributes:
         endpoint: The engine's endpoint.
@@ -59,10 +67,13 @@
         initial_rate: The initial prefill rate, in tokens per ms.
         rate: The estimated prefill rate, in tokens per ms.
         prefix_cache: The prompt parts that it is expected to have cached.
-        running: The number of its requests in flight.
-        prefilling: Requests not prefilled yet, in order of their grants.
-        prefill_tokens: Prompt tokens of all requests not prefilled yet.
-        used_memory_tokens: Memory occupied by its requests in flight.
+        running: The number of its requests in flight, including those that
+            were granted but have not arrived.
+        prefilling: Requests with a prompt in the backlog, by key, in order of
+            their grants.
+        prefill_tokens: The backlog: prompt tokens still to be prefilled.
+        used_memory_tokens: Memory occupied by its requests in flight, in
+            tokens.
         sample_started_at: When the current sample of the rate began, in ms.
         sample_tokens: Tokens prefilled during the current sample.
         is_sample_valid: Whether the sample has no delayed request or report.
@@ -87,26 +98,31 @@
 
     @property
     def wait_ms(self) -> float:
-        """The expected time until a new request's prefill would start."""
+        """The expected time to prefill the backlog, in ms."""
         return self.prefill_tokens / self.rate
 
     def accepts(self, memory_tokens: float) -> bool:
         """Returns whether a request may be sent to the engine now.
 
+        The engine must have capacity, and its backlog must not exceed
+        `MAX_BACKLOG_MS`.
+
         Args:
-            memory_tokens: The engine memory that the request needs.
+            memory_tokens: The engine memory that the request needs, in tokens.
         """
         return self.wait_ms <= MAX_BACKLOG_MS and self.has_capacity(
             memory_tokens
         )
 
     def has_capacity(self, memory_tokens: float) -> bool:
-        """Returns whether a slot and enough memory are free.
+        """Returns whether the engine is usable and has a slot and memory free.
 
-        The prefill backlog is not considered.
+        The backlog is not considered. An engine without requests in flight has
+        capacity for any request, so that a request larger than the usable
+        memory can run.
 
         Args:
-            memory_tokens: The engine memory that the request needs.
+            memory_tokens: The engine memory that the request needs, in tokens.
         """
         if not self.is_usable:
             return False
@@ -122,36 +138,38 @@
     def add_prefill(
         self, tokens: float, now: float, is_timely: bool = True
     ) -> None:
-        """Adds the prompt of a request that is being sent.
+        """Adds a prompt to the backlog.
 
         Args:
             tokens: Prompt tokens to prefill.
             now: When the request was granted or reported, in ms.
-            is_timely: Whether the router sends the request without delay.
+            is_timely: Whether the router sends the request without delay;
+                False if it is lagging.
         """
         if self.prefill_tokens <= 0:
             self._start_sample(now + FIRST_TOKEN_LATENCY_MS)
         self.is_sample_valid = self.is_sample_valid and is_timely
         self.prefill_tokens += tokens
 
-    def _start_sample(self, now: float) -> None:
-        self.sample_started_at = now
+    def _start_sample(self, started_at: float) -> None:
+        self.sample_started_at = started_at
         self.sample_tokens = 0.0
         self.is_sample_valid = True
 
     def finish_prefill(
         self, tokens: float, now: float, is_timely: bool = True
     ) -> None:
-        """Removes a prompt that was prefilled, and updates the rate.
+        """Removes a prompt from the backlog, and updates the rate.
 
-        A sample of the rate spans several prompts in a row, so that the
-        latency of reports counts once and not for each prompt. Samples with
-        a delayed request or a delayed report are discarded.
+        A sample of the rate spans several prompts in a row, so that the latency
+        of reports counts once and not for each prompt. Samples with a delayed
+        request or report are discarded.
 
         Args:
             tokens: Prompt tokens that were prefilled.
             now: When the report arrived, in ms.
-            is_timely: Whether the report arrived without delay.
+            is_timely: Whether the report arrived without delay; False if the
+                router is lagging, or if there was no report.
         """
         self.prefill_tokens = max(0.0, self.prefill_tokens - tokens)
         self.sample_tokens += tokens
--- a/packages/coordination/tests/fairness/test_scheduler_properties.py
+++ b/packages/coordination/tests/fairness/test_scheduler_properties.py
@@ -156,7 +156,7 @@
 
 @given(st.integers(1, 3), st.integers(1, 4), st.lists(_step, max_size=250))
 @settings(max_examples=150)
-def test_the_gap_stays_within_the_formula(agents, slots, steps):
+def test_the_virtual_time_gap_stays_within_the_bound(agents, slots, steps):
     fleet = Fleet(agents, slots)
     for action, index, amount, delivery in steps:
         agent = fleet.agents[index % agents]
@@ -197,7 +197,7 @@
     assert abs(turns["w0"] - turns["w3"]) <= 1
 
 
-def test_a_flood_starves_nobody():
+def test_excess_load_of_one_workspace_does_not_starve_others():
     """The excess load of one workspace must not delay another for long."""
     scheduler = make_scheduler("a")
     scheduler.record_message("entry", "zone-a", 1, 0.0)
@@ -212,7 +212,7 @@
     assert served_before <= 1
 
 
-def test_credit_from_a_long_cut_is_written_off():
+def test_credit_from_a_long_partition_is_written_off():
     """Credit from a network partition is limited.
 
     Both sides served w0 and their totals add up, so that w0 would wait until
@@ -231,7 +231,7 @@
     assert served <= 100.0 + MAX_COST
 
 
-def test_a_warm_prefix_goes_first_only_within_the_slack():
+def test_a_cached_prefix_is_served_first_only_within_the_slack():
     policy = FairnessPolicy(prefix_slack=50.0)
     scheduler = make_scheduler("a", policy)
     scheduler.record_message("entry", "zone-a", 1, 0.0)
