--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -216,7 +216,7 @@
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             if self.pending or any(r.tokens for r in self.running.values()):
-                self._send(Heartbeat(self.lag.is_late))
+                self._send(Heartbeat(self.lag.is_lagging))
 
     def on_started(self, running: RunningRequest, is_granted: bool) -> None:
         """Records that a request is being sent to an endpoint.
@@ -238,7 +238,7 @@
         running = self.running.get(number)
         if running is not None and running.tokens:
             running.tokens = 0.0
-            self._send(FirstToken(number, self.lag.is_late))
+            self._send(FirstToken(number, self.lag.is_lagging))
 
     def on_finished(self, number: int, failed: bool) -> None:
         """Reports that a request is no longer at its endpoint.
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_protocol.py
@@ -52,8 +52,8 @@
     """The first token of a request has arrived at the gateway.
 
     Attributes:
-        is_late: The gateway's event loop is late, so the token may have arrived
-            earlier.
+        is_late: The gateway's event loop is lagging, so the token may have
+            arrived earlier.
     """
 
     number: int
@@ -125,7 +125,7 @@
     are queued or being prefilled.
 
     Attributes:
-        is_late: The sender's event loop is late.
+        is_late: The sender's event loop is lagging.
     """
 
     is_late: bool = False
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -334,7 +334,7 @@
         A connect timeout does not count while the event loop is late: the
         connection may have been established in time.
         """
-        if error.timed_out and self.context.brokers.lag.is_late:
+        if error.timed_out and self.context.brokers.lag.is_lagging:
             return False
         return error.outcome in (SendOutcome.NOT_SENT, SendOutcome.BROKEN)
 
--- a/packages/fleet/src/marjoramyard/fleet/util/lag.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/lag.py
@@ -28,8 +28,8 @@
         self.on_wake_up: list[Callable[[float], None]] = []
 
     @property
-    def is_late(self) -> bool:
-        """Whether the loop was late recently and events may be too."""
+    def is_lagging(self) -> bool:
+        """Whether the loop was late recently, so that events may be too."""
         return time.monotonic() - self.late_at < LATE_HOLD_SECONDS
 
     async def watch(self) -> None:
--- a/packages/fleet/tests/gateway/test_broker_client.py
+++ b/packages/fleet/tests/gateway/test_broker_client.py
@@ -120,9 +120,9 @@
         pass
 
 
-async def test_a_late_gateway_does_not_bypass_the_broker(metrics):
-    """Guards against requests of a late gateway that bypass the broker's queue,
-    which would give one workspace the shares of the others.
+async def test_a_lagging_gateway_does_not_bypass_the_broker(metrics):
+    """Guards against requests of a lagging gateway that bypass the broker's
+    queue, which would give one workspace the shares of the others.
     """
     async with (
         broker_process() as (_, address),
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -42,7 +42,7 @@
     assert limit.admits("w")
 
 
-def test_a_late_gateway_refuses_prompts_of_the_dominant_workspace(gateway):
+def test_a_lagging_gateway_refuses_prompts_of_the_dominant_workspace(gateway):
     """Guards against one workspace delaying the responses of all callers of a
     gateway.
     """
@@ -79,7 +79,7 @@
     assert limit.admits("large")
 
 
-def test_a_late_gateway_with_few_prompts_refuses_nothing(gateway):
+def test_a_lagging_gateway_with_few_prompts_refuses_nothing(gateway):
     limit = gateway.limit
     gateway.enter("w", 3)
     for _ in range(5):
--- a/packages/fleet/tests/gateway/test_request_run.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -60,7 +60,7 @@
     return fleet_view
 
 
-def make_run(view, metrics, is_late):
+def make_run(view, metrics, is_lagging):
     now = time.monotonic()
     caller = CallerRequest(
         attempt="a",
@@ -73,7 +73,7 @@
         arrived_at=now,
         deadline_at=now + 5,
     )
-    brokers = SimpleNamespace(lag=SimpleNamespace(is_late=is_late))
+    brokers = SimpleNamespace(lag=SimpleNamespace(is_lagging=is_lagging))
     context = RequestRunContext(
         view,
         SessionThatTimesOut(),
@@ -89,16 +89,16 @@
     )
 
 
-@pytest.mark.parametrize("is_late", [True, False])
-async def test_a_late_gateway_does_not_mark_endpoints_failed(
-    view, metrics, is_late
+@pytest.mark.parametrize("is_lagging", [True, False])
+async def test_a_lagging_gateway_does_not_mark_endpoints_failed(
+    view, metrics, is_lagging
 ):
     """Guards against healthy endpoints being taken out of service because a
     gateway was too late to complete connections.
     """
-    run = make_run(view, metrics, is_late)
+    run = make_run(view, metrics, is_lagging)
     with pytest.raises(FleetError) as caught:
         await run.run_to_completion()
     assert caught.value.failure.kind is Kind.NO_ENDPOINT
     health = view.health_of("e0")
-    assert health.is_backing_off(time.monotonic()) is not is_late
+    assert health.is_backing_off(time.monotonic()) is not is_lagging
--- a/packages/fleet/tests/gateway/test_role.py
+++ b/packages/fleet/tests/gateway/test_role.py
@@ -12,7 +12,7 @@
 
 
 class BusyConnections:
-    """Connections on which each poll of a late loop finds a new request."""
+    """Connections on which each poll of a lagging loop finds a new request."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -27,8 +27,10 @@
                 pass
 
 
-async def test_a_late_gateway_drains_until_no_more_requests_arrive(monkeypatch):
-    """Guards against exiting while a late gateway still has unread requests."""
+async def test_a_lagging_gateway_drains_until_no_more_requests_arrive(
+    monkeypatch,
+):
+    """Guards against exiting while unread requests are left."""
     monkeypatch.setattr(role_module, "BALANCER_NOTICE_SECONDS", 0.0)
     handler = SimpleNamespace(active_count=0, started_count=0)
     settings = SimpleNamespace(max_descriptors=1000, grace_seconds=30.0)
