--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 
 _FULL_RETRY_SECONDS = 60.0
 
@@ -156,7 +156,7 @@
 
 def _reused() -> Failure:
     return failure(
-        Kind.IDEMPOTENCY_KEY_REUSED,
+        FailureKind.IDEMPOTENCY_KEY_REUSED,
         "this Idempotency-Key came with another body; use a new key for a "
         "new call",
     )
@@ -164,7 +164,7 @@
 
 def _cancelled() -> Failure:
     return failure(
-        Kind.CANCELLED,
+        FailureKind.CANCELLED,
         "this attempt was cancelled before it started; send the request "
         "again with the same Idempotency-Key",
     )
@@ -172,7 +172,7 @@
 
 def _full() -> Failure:
     return failure(
-        Kind.LEDGER_FULL,
+        FailureKind.LEDGER_FULL,
         "the ledger of calls is full and evicts no entries; an operator must "
         "raise policy.ledger_capacity",
         retry_after=_FULL_RETRY_SECONDS,
--- a/packages/coordination/src/marjoramyard/coordination/governance/lifecycle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/lifecycle.py
@@ -16,7 +16,7 @@
     Rows,
     row_value,
 )
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.util.canonical import canonical_bytes, digest
 
 MAX_DELTAS = 1000
@@ -131,7 +131,7 @@
             if known.digest != change_digest:
                 return Err(
                     failure(
-                        Kind.CONFLICT,
+                        FailureKind.CONFLICT,
                         f"change ID {change.change_id} belongs to another "
                         "change; use a new ID",
                     )
@@ -166,7 +166,7 @@
         if record.author == approver:
             return Err(
                 failure(
-                    Kind.INVALID_SIGNATURE,
+                    FailureKind.INVALID_SIGNATURE,
                     f"{approver} proposed this change; another person must "
                     "approve it",
                 )
@@ -190,7 +190,7 @@
         if record.state is ChangeState.PROPOSED:
             return Err(
                 failure(
-                    Kind.CONFLICT,
+                    FailureKind.CONFLICT,
                     "the change is not approved; another operator approves "
                     "it with `marjoramctl approve`",
                 )
@@ -230,7 +230,7 @@
         ]
         by = f" by {rolled[0].author}" if rolled else ""
         return failure(
-            Kind.CONFLICT,
+            FailureKind.CONFLICT,
             f"based on version {base}, but version "
             f"{self.state.version}{by} is in force; review it with "
             "`marjoramctl diff`, then propose again",
@@ -243,11 +243,11 @@
             for path, raw in change.put.items():
                 row_value(path, raw)
         except ValueError as error:
-            return failure(Kind.INVALID_BUNDLE, str(error))
+            return failure(FailureKind.INVALID_BUNDLE, str(error))
         for path in change.remove:
             if path not in self.view.rows or path in change.put:
                 return failure(
-                    Kind.INVALID_BUNDLE,
+                    FailureKind.INVALID_BUNDLE,
                     f"{path}: cannot be removed; it is not in force or the "
                     "change also puts it",
                 )
@@ -265,17 +265,17 @@
         content = view.content_digest
         view.apply(before, added)
         if problem is not None:
-            return failure(Kind.INVALID_BUNDLE, problem)
+            return failure(FailureKind.INVALID_BUNDLE, problem)
         old = self.state.contents.get(content)
         if old is not None and change.restores != old:
             return failure(
-                Kind.CONFLICT,
+                FailureKind.CONFLICT,
                 f"the resulting bundle equals version {old}; to restore it "
                 f"use `marjoramctl restore {old}`",
             )
         if change.restores is not None and old != change.restores:
             return failure(
-                Kind.INVALID_BUNDLE,
+                FailureKind.INVALID_BUNDLE,
                 f"the resulting bundle differs from version {change.restores}",
             )
         return None
@@ -332,7 +332,7 @@
 
 def _unknown_change(change_id: str) -> Failure:
     return failure(
-        Kind.NOT_FOUND,
+        FailureKind.NOT_FOUND,
         f"unknown change {change_id}; `marjoramctl changes` lists them",
     )
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/orders.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/orders.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 
 
 class Order(msgspec.Struct, frozen=True):
@@ -36,13 +36,13 @@
         """Accepts an order and returns None, or returns why it is stale."""
         if not self.has_observed:
             return failure(
-                Kind.STALE_FENCING_NUMBER,
+                FailureKind.STALE_FENCING_NUMBER,
                 "the newest order number is not known yet after a restart; it "
                 "arrives with the next lease renewal",
             )
         if number < self.highest_seen:
             return failure(
-                Kind.STALE_FENCING_NUMBER,
+                FailureKind.STALE_FENCING_NUMBER,
                 f"order {number} is older than {self.highest_seen}; issue it "
                 "again",
             )
--- a/packages/coordination/tests/governance/test_bundle_lifecycle.py
+++ b/packages/coordination/tests/governance/test_bundle_lifecycle.py
@@ -19,7 +19,7 @@
     LifecycleState,
     rows_at,
 )
-from marjoramyard.kernel.errors import Kind
+from marjoramyard.kernel.errors import FailureKind
 
 OPERATORS = {
     "operators/awa": {"public_key": "0" * 64},
@@ -76,7 +76,7 @@
         assert history.approve(change).is_ok()
     assert history.bundles.roll(one.change_id, "awa", "s", 1.0).is_ok()
     conflict = history.bundles.roll(two.change_id, "awa", "s", 1.0).err()
-    assert conflict.kind is Kind.CONFLICT
+    assert conflict.kind is FailureKind.CONFLICT
     assert "version 2 by awa is in force" in conflict.message
     assert "workspaces/b" not in history.bundles.view.rows
 
@@ -101,7 +101,7 @@
     history = History()
     change = history.roll({"workspaces/a": workspace()})
     other = msgspec.structs.replace(change, note="another")
-    assert history.propose(other).err().kind is Kind.CONFLICT
+    assert history.propose(other).err().kind is FailureKind.CONFLICT
 
 
 def test_an_old_bundle_is_refused_unless_it_is_restored_explicitly():
@@ -111,7 +111,7 @@
     history.roll({"workspaces/a": workspace(5.0)})
     old = history.change({"workspaces/a": workspace(1.0)})
     refused = history.propose(old).err()
-    assert refused.kind is Kind.CONFLICT
+    assert refused.kind is FailureKind.CONFLICT
     assert "restore 2" in refused.message
     history.roll({"workspaces/a": workspace(1.0)}, restores=2)
     assert history.version == 4
@@ -121,7 +121,7 @@
     history = History()
     history.roll({"workspaces/a": workspace(1.0)})
     wrong = history.change({"workspaces/a": workspace(7.0)}, restores=1)
-    assert history.propose(wrong).err().kind is Kind.INVALID_BUNDLE
+    assert history.propose(wrong).err().kind is FailureKind.INVALID_BUNDLE
 
 
 def test_an_author_cannot_approve_their_own_change():
@@ -129,9 +129,9 @@
     change = history.change({"workspaces/a": workspace()})
     history.propose(change)
     own = history.bundles.approve(change.change_id, "awa", "sig", 1.0)
-    assert own.err().kind is Kind.INVALID_SIGNATURE
+    assert own.err().kind is FailureKind.INVALID_SIGNATURE
     early = history.bundles.roll(change.change_id, "awa", "sig", 1.0)
-    assert early.err().kind is Kind.CONFLICT
+    assert early.err().kind is FailureKind.CONFLICT
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
     history.roll({"workspaces/a": workspace()})
     before = copy.deepcopy(history.bundles.view.rows)
     refused = history.propose(history.change(put, remove)).err()
-    assert refused.kind is Kind.INVALID_BUNDLE
+    assert refused.kind is FailureKind.INVALID_BUNDLE
     assert fragment in refused.message
     assert history.bundles.view.rows == before
     assert history.bundles.view.workspace_of_key.get("a" * 64) == "a"
--- a/packages/coordination/tests/governance/test_ledger_properties.py
+++ b/packages/coordination/tests/governance/test_ledger_properties.py
@@ -10,7 +10,7 @@
     StoredResponse,
     outcome_after_cancel,
 )
-from marjoramyard.kernel.errors import Kind, Outcome
+from marjoramyard.kernel.errors import FailureKind, Outcome
 
 KEY, DIGEST = "1:w:key", "digest"
 _pick = st.integers(0, 20)
@@ -94,17 +94,18 @@
     ledger.cancel(KEY, DIGEST, "first", 0, 10)
     ledger.cancel(KEY, DIGEST, "second", 1, 10)
     view = ledger.start(KEY, DIGEST, "first", 0, 10)
-    assert view.refusal.kind is Kind.CANCELLED
+    assert view.refusal.kind is FailureKind.CANCELLED
 
 
 def test_reusing_a_key_with_another_body_is_refused():
     ledger = Ledger({})
     ledger.start(KEY, DIGEST, "a", 0, 10)
     assert (
-        ledger.look_up(KEY, "other").refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
+        ledger.look_up(KEY, "other").refusal.kind
+        is FailureKind.IDEMPOTENCY_KEY_REUSED
     )
     view = ledger.start(KEY, "other", "b", 0, 10)
-    assert view.refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
+    assert view.refusal.kind is FailureKind.IDEMPOTENCY_KEY_REUSED
 
 
 def test_a_full_ledger_refuses_new_calls_and_evicts_none():
@@ -112,7 +113,7 @@
     ledger = Ledger({})
     ledger.start("old", DIGEST, "a", 0, 1)
     view = ledger.start("new", DIGEST, "b", 0, 1)
-    assert view.refusal.kind is Kind.LEDGER_FULL
+    assert view.refusal.kind is FailureKind.LEDGER_FULL
     assert ledger.look_up("old", DIGEST).state is CallState.STARTED
 
 
--- a/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
+++ b/packages/ctl/src/marjoramyard/ctl/cmd/cluster.py
@@ -22,7 +22,7 @@
     MemberChange,
 )
 from marjoramyard.fleet.paths import INIT_PATH, MEMBER_PATH, STATUS_PATH
-from marjoramyard.kernel.errors import Kind
+from marjoramyard.kernel.errors import FailureKind
 from marjoramyard.kernel.ids import ReplicaId
 
 _CALL_SECONDS = 5.0
@@ -157,7 +157,7 @@
         )
         if not isinstance(response, Err):
             return
-        if response.err_value.kind is not Kind.CONFLICT:
+        if response.err_value.kind is not FailureKind.CONFLICT:
             value_or_exit(response)
         await asyncio.sleep(_POLL_SECONDS)
     fail(f"{replica} did not catch up; check its log, then run this again")
--- a/packages/ctl/src/marjoramyard/ctl/session.py
+++ b/packages/ctl/src/marjoramyard/ctl/session.py
@@ -12,7 +12,7 @@
 
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.rpc import InternalClient, read_secret
-from marjoramyard.kernel.errors import Failure, Kind
+from marjoramyard.kernel.errors import Failure, FailureKind
 from marjoramyard.kernel.metrics import Metrics
 
 EXIT_FAILED = 1
@@ -116,9 +116,16 @@
 
 def exit_code_of(reason: Failure) -> int:
     """Returns the exit code of a failure."""
-    if reason.kind in (Kind.CONFLICT, Kind.IDEMPOTENCY_KEY_REUSED):
+    if reason.kind in (
+        FailureKind.CONFLICT,
+        FailureKind.IDEMPOTENCY_KEY_REUSED,
+    ):
         return EXIT_CONFLICT
-    if reason.kind in (Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.NOT_LEADER):
+    if reason.kind in (
+        FailureKind.NO_QUORUM,
+        FailureKind.NO_ENDPOINT,
+        FailureKind.NOT_LEADER,
+    ):
         return EXIT_UNREACHABLE
     return EXIT_FAILED
 
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -23,8 +23,8 @@
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
     raise_failure,
@@ -108,7 +108,9 @@
         # The entry may have cancelled while the body was read. There must
         # be no await between this check and the allocation of the slot.
         if run.attempt in self.tombstones or run.attempt in self.attempts:
-            raise_failure(Kind.CANCELLED, "the entry cancelled this attempt")
+            raise_failure(
+                FailureKind.CANCELLED, "the entry cancelled this attempt"
+            )
         workspace = WorkspaceId(run.workspace)
         refusal = self.slots.admit(workspace, run.grant)
         if refusal is not None:
@@ -130,7 +132,7 @@
         service = self.membership.bundle.services.get(run.service)
         if service is None or run.service != self.endpoint.announced.service:
             raise_failure(
-                Kind.NO_ENDPOINT,
+                FailureKind.NO_ENDPOINT,
                 f"the endpoint here doesn't serve {run.service}",
             )
         fingerprint = Fingerprint(run.fingerprint)
@@ -164,13 +166,15 @@
         # The entry may have cancelled while the hold was awaited. A call
         # that was started in the ledger runs regardless.
         elif run.attempt in self.tombstones:
-            raise_failure(Kind.CANCELLED, "the entry cancelled this attempt")
+            raise_failure(
+                FailureKind.CANCELLED, "the entry cancelled this attempt"
+            )
 
     async def _execute(self, attempt: Attempt) -> None:
         run = attempt.run_request
         try:
             reason = await attempt.execute(self.session)
-            if reason is not None and reason.kind is Kind.ENDPOINT_LOST:
+            if reason is not None and reason.kind is FailureKind.ENDPOINT_LOST:
                 await self._check_endpoint()
             elif reason is None and run.call is not None:
                 # Stored first, so that a resend gets the response even if
@@ -257,11 +261,11 @@
         first = int(request.query.get("from", "0"))
         if attempt is None:
             raise_failure(
-                Kind.NOT_FOUND, "no such attempt here", Outcome.UNKNOWN
+                FailureKind.NOT_FOUND, "no such attempt here", Outcome.UNKNOWN
             )
         if first < attempt.replay_buffer.first_kept:
             raise_failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 f"frame {first} is no longer buffered",
                 Outcome.UNKNOWN,
             )
@@ -270,7 +274,7 @@
             return await self._stream(request, attempt, first)
         except ReplayLostError:
             raise_failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 "the next frame is no longer buffered",
                 Outcome.UNKNOWN,
             )
@@ -323,7 +327,7 @@
 
 def _interrupted() -> Failure:
     return failure(
-        Kind.INTERNAL,
+        FailureKind.INTERNAL,
         "the agent was stopped while the request ran",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -14,7 +14,7 @@
 from marjoramyard.fleet.agent.meters import METERS
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.util.headers import end_to_end, is_stream
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 from marjoramyard.kernel.ids import WorkspaceId
 
 ORPHAN_TIMEOUT_SECONDS = 5.0
@@ -119,7 +119,7 @@
                 return await self._exchange(session)
         except TimeoutError:
             return failure(
-                Kind.DEADLINE,
+                FailureKind.DEADLINE,
                 "the deadline passed while the request ran; retry with a "
                 "later one",
                 Outcome.UNKNOWN,
@@ -128,7 +128,9 @@
             if not self.cancelled:
                 raise
             return failure(
-                Kind.CANCELLED, "the caller disconnected", Outcome.UNKNOWN
+                FailureKind.CANCELLED,
+                "the caller disconnected",
+                Outcome.UNKNOWN,
             )
         finally:
             self.meter.end()
@@ -160,17 +162,17 @@
         except aiohttp.ClientConnectorError:
             self.state = AttemptState.ADMITTED
             return failure(
-                Kind.ENDPOINT_LOST, "connection to the endpoint failed"
+                FailureKind.ENDPOINT_LOST, "connection to the endpoint failed"
             )
         except aiohttp.ServerTimeoutError:
             return failure(
-                Kind.ENDPOINT_STALLED,
+                FailureKind.ENDPOINT_STALLED,
                 f"the endpoint sent no data for {run.stall_seconds:g} s",
                 Outcome.UNKNOWN,
             )
         except (aiohttp.ClientError, OSError) as error:
             return failure(
-                Kind.ENDPOINT_LOST,
+                FailureKind.ENDPOINT_LOST,
                 f"connection to the endpoint lost: {error!r}",
                 Outcome.UNKNOWN,
             )
@@ -282,7 +284,7 @@
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 "the endpoint ended the stream without its last event",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -16,7 +16,7 @@
 from marjoramyard.fleet.agent.attempts import Attempt
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.util.control_client import ControlClient
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 
 MAX_STORED_BYTES = 64 << 10
 _START_TIMEOUT_SECONDS = 4.0
@@ -44,7 +44,9 @@
     if view.refusal is not None:
         return view.refusal
     if view.state is not CallState.STARTED or view.attempt != run.attempt:
-        return failure(Kind.CANCELLED, "another attempt has started this call")
+        return failure(
+            FailureKind.CANCELLED, "another attempt has started this call"
+        )
     return None
 
 
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -27,7 +27,7 @@
     OfferReply,
 )
 from marjoramyard.fleet.paths import FREE_PATH, GRANT_PATH
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.ids import Incarnation, WorkspaceId, Zone
 from marjoramyard.kernel.logs import get_logger
 
@@ -304,13 +304,15 @@
             None if the attempt may run, else the refusal.
         """
         if self.is_leaving():
-            return failure(Kind.LEAVING, "the agent is leaving; use another")
+            return failure(
+                FailureKind.LEAVING, "the agent is leaving; use another"
+            )
         refusal = self.membership.refusal()
         if refusal is not None:
             return refusal
         if not self.endpoint.is_ready:
             return failure(
-                Kind.NO_ENDPOINT,
+                FailureKind.NO_ENDPOINT,
                 "the endpoint is not ready; use another",
                 retry_after=random.uniform(1.0, 3.0),
             )
@@ -318,10 +320,13 @@
         if grant:
             if self.grants.pop(grant, None) is None:
                 return failure(
-                    Kind.BUSY, "the grant has expired; queue the request again"
+                    FailureKind.BUSY,
+                    "the grant has expired; queue the request again",
                 )
         elif self.free == 0 or not self.scheduler.may_bypass_queue(workspace):
-            return failure(Kind.BUSY, "no slot is free for a direct attempt")
+            return failure(
+                FailureKind.BUSY, "no slot is free for a direct attempt"
+            )
         self.running += 1
         return None
 
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -13,7 +13,7 @@
 from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.refusals import quarantined
 from marjoramyard.fleet.util.control_client import ControlClient
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.ids import Fingerprint
 
 _HOLD_TIMEOUT_SECONDS = 3.0
@@ -98,7 +98,7 @@
 
 def _held_apart() -> Failure:
     return failure(
-        Kind.SUSPECT_HELD,
+        FailureKind.SUSPECT_HELD,
         "this request was running when an endpoint died; it is run again "
         "separately from other such requests",
         retry_after=random.uniform(0.5, 1.5),
--- a/packages/fleet/src/marjoramyard/fleet/control/dialects.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/dialects.py
@@ -12,7 +12,7 @@
 from marjoramyard.fleet.control.service import FleetService
 from marjoramyard.fleet.messages import Empty
 from marjoramyard.fleet.util.rpc import json_response, read_message
-from marjoramyard.kernel.errors import FleetError, Kind, raise_failure
+from marjoramyard.kernel.errors import FailureKind, FleetError, raise_failure
 from marjoramyard.kernel.registry import Registry
 
 OPERATOR_DIALECTS: Registry[Callable[[FleetService], list[web.RouteDef]]] = (
@@ -35,7 +35,7 @@
         config = msgspec.json.decode(body, type=FleetConfig)
         problems = config.problems()
         if problems:
-            raise_failure(Kind.INVALID_BUNDLE, "; ".join(problems))
+            raise_failure(FailureKind.INVALID_BUNDLE, "; ".join(problems))
         result = await service.put_config(ConfigDocument(config.version, body))
         if isinstance(result, Err):
             raise FleetError(result.err_value)
@@ -47,7 +47,8 @@
             raise FleetError(result.err_value)
         if result.ok_value.document is None:
             raise_failure(
-                Kind.UNINITIALISED, "no configuration yet; send the first one"
+                FailureKind.UNINITIALISED,
+                "no configuration yet; send the first one",
             )
         return web.Response(
             body=result.ok_value.document.text, content_type="application/json"
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -22,7 +22,7 @@
 from marjoramyard.coordination.governance.state import ControlState
 from marjoramyard.fleet.control.peer_clients import PeerClients
 from marjoramyard.fleet.control.storage import Storage
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.metrics import Metrics
 
@@ -154,7 +154,7 @@
         """Replicates a membership change.
 
         Only one change may be uncommitted at a time; another one fails with
-        `Kind.CONFLICT`.
+        `FailureKind.CONFLICT`.
 
         Args:
             membership: The new membership; at most one voter differs.
@@ -166,7 +166,7 @@
                 return Err(self.not_leader())
             return Err(
                 failure(
-                    Kind.CONFLICT,
+                    FailureKind.CONFLICT,
                     "another membership change is not committed yet; try "
                     "again in a moment",
                 )
@@ -219,7 +219,7 @@
         if leader == self.core.replica_id:
             address = None
         reason = failure(
-            Kind.NOT_LEADER,
+            FailureKind.NOT_LEADER,
             "this control host does not lead; ask the leader named here",
             retry_after=MAX_ELECTION_SECONDS,
         )
@@ -335,7 +335,7 @@
 def no_quorum(outcome: Outcome = Outcome.NOT_RUN) -> Failure:
     """Returns the failure of a command that no quorum has acknowledged."""
     return failure(
-        Kind.NO_QUORUM,
+        FailureKind.NO_QUORUM,
         "no quorum of control hosts answered; look at `marjoramctl status`, "
         "then send it again",
         outcome,
--- a/packages/fleet/src/marjoramyard/fleet/control/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/role.py
@@ -55,8 +55,8 @@
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     failure,
     raise_failure,
 )
@@ -212,7 +212,7 @@
         """
         if self.running_node is None:
             raise_failure(
-                Kind.UNINITIALISED,
+                FailureKind.UNINITIALISED,
                 "this control host is not initialised; add it with "
                 "`marjoramctl cluster init` or `cluster replace`",
             )
@@ -316,7 +316,8 @@
         node = await self._confirmed_node()
         if query.subject not in QUERIES.items:
             raise_failure(
-                Kind.NOT_FOUND, f"unknown subject; use {', '.join(QUERIES)}"
+                FailureKind.NOT_FOUND,
+                f"unknown subject; use {', '.join(QUERIES)}",
             )
         value = QUERIES.get(query.subject)(
             node, self.renewal_server, query.argument
@@ -373,7 +374,7 @@
         message = await read_message(request, InitCluster)
         if self.running_node is not None or self.storage is None:
             raise_failure(
-                Kind.CONFLICT,
+                FailureKind.CONFLICT,
                 "this control host holds a replica already; nothing was "
                 "changed",
             )
@@ -418,7 +419,8 @@
             if change.action == "remove":
                 return membership
             return failure(
-                Kind.NOT_FOUND, f"{replica} is not a member; add it first"
+                FailureKind.NOT_FOUND,
+                f"{replica} is not a member; add it first",
             )
         if change.action == "remove":
             return membership.without(replica)
@@ -427,7 +429,7 @@
         if not node.core.is_caught_up(replica):
             # A quorum of voters that lack committed entries would lose them.
             return failure(
-                Kind.CONFLICT,
+                FailureKind.CONFLICT,
                 f"{replica} has not synced all log entries yet; try again "
                 "in a second",
                 retry_after=1.0,
--- a/packages/fleet/src/marjoramyard/fleet/control/service.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/service.py
@@ -31,7 +31,7 @@
     SyncReply,
     SyncRequest,
 )
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.ids import new_incarnation
 from marjoramyard.kernel.logs import get_logger
 
@@ -261,7 +261,7 @@
                 )
             if isinstance(result, Ok) or time.monotonic() > deadline:
                 return result
-            if leader and result.err_value.kind is not Kind.NOT_LEADER:
+            if leader and result.err_value.kind is not FailureKind.NOT_LEADER:
                 return result
             await asyncio.sleep(0.05)
 
@@ -282,7 +282,9 @@
     def _not_leader(self) -> Failure:
         if self.role.running_node is not None:
             return self.role.running_node.not_leader()
-        return failure(Kind.NOT_LEADER, "this control host holds no replica")
+        return failure(
+            FailureKind.NOT_LEADER, "this control host holds no replica"
+        )
 
     # Gateways.
 
--- a/packages/fleet/src/marjoramyard/fleet/control/signatures.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/signatures.py
@@ -8,7 +8,7 @@
 )
 
 from marjoramyard.coordination.governance.bundle import BundleView
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 
 
 def make_private_key() -> str:
@@ -85,13 +85,13 @@
             key = known.public_key
         if key is None:
             return failure(
-                Kind.INVALID_SIGNATURE,
+                FailureKind.INVALID_SIGNATURE,
                 f"{operator} does not have the role {role}; sign as an "
                 "operator who has it, or add the role to the bundle first",
             )
         if not is_valid(key, signature, data):
             return failure(
-                Kind.INVALID_SIGNATURE,
+                FailureKind.INVALID_SIGNATURE,
                 f"the signature does not match {operator}'s key; sign with "
                 "the key that the bundle names",
             )
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -19,8 +19,8 @@
 from marjoramyard.fleet.messages import CallTicket
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     raise_failure,
 )
@@ -76,7 +76,7 @@
         service = self.bundle.services[service_id]
         if len(body) > service.max_body_bytes:
             raise_failure(
-                Kind.TOO_LARGE,
+                FailureKind.TOO_LARGE,
                 f"the body is over {service.max_body_bytes} bytes; send less",
             )
         rule = self.bundle.rule_for(
@@ -103,10 +103,10 @@
         workspace = self.bundle.workspaces.get(workspace_id)
         if workspace is None:
             # A new bundle was installed while the body was read.
-            raise_failure(Kind.UNKNOWN_KEY, "the workspace was removed")
+            raise_failure(FailureKind.UNKNOWN_KEY, "the workspace was removed")
         if service_id not in workspace.services:
             raise_failure(
-                Kind.FORBIDDEN_SERVICE,
+                FailureKind.FORBIDDEN_SERVICE,
                 f"workspace {workspace_id} may not reach {service_id}; ask "
                 "an operator to add it to the bundle",
             )
@@ -121,14 +121,14 @@
             key = token.strip()
         if not key:
             raise_failure(
-                Kind.MISSING_KEY,
+                FailureKind.MISSING_KEY,
                 "no API key; send `Authorization: Bearer KEY`",
             )
         key_hash = hashlib.sha256(key.encode(errors="replace")).hexdigest()
         workspace = self.bundle.workspace_of_key.get(key_hash)
         if workspace is None:
             raise_failure(
-                Kind.UNKNOWN_KEY,
+                FailureKind.UNKNOWN_KEY,
                 "the API key is not known; ask an operator for a new one",
             )
         return WorkspaceId(workspace)
@@ -149,10 +149,12 @@
                     if len(body) > limit:
                         break
         except (aiohttp.ClientPayloadError, ValueError) as error:
-            raise_failure(Kind.BAD_REQUEST, f"the body is truncated: {error}")
+            raise_failure(
+                FailureKind.BAD_REQUEST, f"the body is truncated: {error}"
+            )
         if max(len(body), request.content_length or 0) > limit:
             raise_failure(
-                Kind.TOO_LARGE,
+                FailureKind.TOO_LARGE,
                 f"the body is over {limit} bytes, more than any service "
                 "accepts; send less",
             )
@@ -168,13 +170,13 @@
             name, _, path = rest.partition("/")
             if name not in self.bundle.services:
                 raise_failure(
-                    Kind.UNKNOWN_SERVICE,
+                    FailureKind.UNKNOWN_SERVICE,
                     f"there is no service {name!r}; see the bundle's list",
                 )
             query = f"?{request.query_string}" if request.query_string else ""
             return ServiceId(name), f"/{path}{query}"
         raise_failure(
-            Kind.UNKNOWN_ROUTE,
+            FailureKind.UNKNOWN_ROUTE,
             f"no route {request.path}; use {CHAT_PATHS[0]} or "
             f"{SERVICE_PREFIX}NAME/...",
         )
@@ -185,12 +187,13 @@
             chat = msgspec.json.decode(body, type=ChatBody)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise_failure(
-                Kind.BAD_REQUEST, f"the body is not a chat request: {error}"
+                FailureKind.BAD_REQUEST,
+                f"the body is not a chat request: {error}",
             )
         service = self.bundle.service_of_model.get(chat.model)
         if service is None:
             raise_failure(
-                Kind.UNKNOWN_SERVICE,
+                FailureKind.UNKNOWN_SERVICE,
                 f"no service has model {chat.model!r}; name one of the "
                 "bundle's models",
             )
@@ -205,12 +208,14 @@
     for name, value in request.headers.items():
         if len(name) + len(value) > limit:
             raise_failure(
-                Kind.TOO_LARGE, f"a header is over {limit} bytes; send less"
+                FailureKind.TOO_LARGE,
+                f"a header is over {limit} bytes; send less",
             )
     for name in _SINGLE_HEADERS:
         if len(request.headers.getall(name, ())) > 1:
             raise_failure(
-                Kind.BAD_REQUEST, f"header {name} is repeated; send it once"
+                FailureKind.BAD_REQUEST,
+                f"header {name} is repeated; send it once",
             )
 
 
@@ -235,7 +240,7 @@
         seconds = math.nan
     if not 0 < seconds <= service.max_deadline_seconds:
         raise_failure(
-            Kind.BAD_REQUEST,
+            FailureKind.BAD_REQUEST,
             f"{DEADLINE_HEADER}: give seconds above 0 and up to "
             f"{service.max_deadline_seconds:g}",
         )
@@ -246,13 +251,13 @@
     key = request.headers.get(IDEMPOTENCY_HEADER, "").strip()
     if not key:
         raise_failure(
-            Kind.IDEMPOTENCY_KEY_REQUIRED,
+            FailureKind.IDEMPOTENCY_KEY_REQUIRED,
             "this call runs at most once, so it needs an Idempotency-Key "
             "header: a new value for a new call, the same for a resend",
         )
     if len(key) > MAX_KEY_CHARS:
         raise_failure(
-            Kind.BAD_REQUEST,
+            FailureKind.BAD_REQUEST,
             f"{IDEMPOTENCY_HEADER} is over {MAX_KEY_CHARS} characters",
         )
     full_key = Ledger.key(admitted.workspace_id, key)
--- a/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -18,7 +18,7 @@
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.kernel.errors import (
     Failure,
-    Kind,
+    FailureKind,
     Outcome,
     failure,
 )
@@ -135,7 +135,9 @@
         except aiohttp.ClientConnectorError:
             self.may_have_arrived = False
             raise AttemptRefusedError(
-                failure(Kind.NO_ENDPOINT, "connection to the agent failed")
+                failure(
+                    FailureKind.NO_ENDPOINT, "connection to the agent failed"
+                )
             ) from None
         except _CONNECTION_ERRORS as error:
             raise AttemptLostError(_lost(repr(error))) from error
@@ -201,12 +203,14 @@
     try:
         return msgspec.json.decode(data, type=FailureBody).error
     except msgspec.DecodeError:
-        return failure(Kind.INTERNAL, "the agent's refusal can't be decoded")
+        return failure(
+            FailureKind.INTERNAL, "the agent's refusal can't be decoded"
+        )
 
 
 def _lost(detail: str) -> Failure:
     return failure(
-        Kind.ENDPOINT_LOST,
+        FailureKind.ENDPOINT_LOST,
         f"connection to the agent lost while the request ran ({detail})",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -18,8 +18,8 @@
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.headers import copy_headers
 from marjoramyard.kernel.errors import (
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
     raise_failure,
@@ -95,7 +95,7 @@
 
 def _raise_in_progress() -> None:
     raise_failure(
-        Kind.CALL_IN_PROGRESS,
+        FailureKind.CALL_IN_PROGRESS,
         "this call was started before and has no stored response yet; it is "
         "not started again. Retry with the same Idempotency-Key later; if "
         "this persists, check the service itself",
@@ -108,7 +108,7 @@
     if stored is None or stored.body is None:
         raise FleetError(
             failure(
-                Kind.CALL_OUTCOME_UNKNOWN,
+                FailureKind.CALL_OUTCOME_UNKNOWN,
                 "this call was completed, but its response was too large to "
                 "be stored; check the service itself",
                 Outcome.COMPLETE,
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -28,7 +28,7 @@
     OfferReply,
 )
 from marjoramyard.fleet.paths import OFFER_PATH
-from marjoramyard.kernel.errors import FleetError, Kind, failure
+from marjoramyard.kernel.errors import FailureKind, FleetError, failure
 from marjoramyard.kernel.ids import ServiceId, WorkspaceId
 from marjoramyard.kernel.logs import get_logger
 
@@ -199,7 +199,7 @@
         except TimeoutError:
             raise FleetError(
                 failure(
-                    Kind.DEADLINE,
+                    FailureKind.DEADLINE,
                     "the deadline passed while the request was queued; it "
                     "was not run",
                     retry_after=self.retry_after(),
@@ -218,7 +218,7 @@
         if queue.count >= limits.max_waiting or size > limits.max_waiting_bytes:
             raise FleetError(
                 failure(
-                    Kind.WORKSPACE_FULL,
+                    FailureKind.WORKSPACE_FULL,
                     "too many requests of this workspace are queued; retry "
                     "later or send fewer at once",
                     retry_after=self.retry_after(),
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -33,19 +33,29 @@
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
 )
 from marjoramyard.kernel.ids import AttemptId, new_attempt_id
 
 _AGENT_REFUSALS = frozenset(
-    {Kind.BUSY, Kind.LEAVING, Kind.NO_ENDPOINT, Kind.NO_LEASE, Kind.NOT_FOUND}
+    {
+        FailureKind.BUSY,
+        FailureKind.LEAVING,
+        FailureKind.NO_ENDPOINT,
+        FailureKind.NO_LEASE,
+        FailureKind.NOT_FOUND,
+    }
 )
 """Refusals that concern one agent only; another may accept the request."""
 _RETRYABLE = frozenset(
-    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.RESPONSE_TRUNCATED}
+    {
+        FailureKind.ENDPOINT_LOST,
+        FailureKind.ENDPOINT_STALLED,
+        FailureKind.RESPONSE_TRUNCATED,
+    }
 )
 
 
@@ -217,7 +227,7 @@
         reason = error.failure
         if isinstance(error, AttemptLostError):
             dispatcher.back_off(placement.address)
-        elif reason.kind is Kind.ENDPOINT_LOST:
+        elif reason.kind is FailureKind.ENDPOINT_LOST:
             ran = reason.outcome != Outcome.NOT_RUN.value
             request.suspect = request.suspect or ran
 
@@ -256,7 +266,7 @@
         Raises:
             FleetError: The refusal applies to all agents.
         """
-        if reason.kind is Kind.SUSPECT_HELD:
+        if reason.kind is FailureKind.SUSPECT_HELD:
             # In the queue it would be granted slots that it can't use
             # while another suspect runs.
             request.suspect = True
@@ -267,7 +277,7 @@
             raise FleetError(
                 msgspec.structs.replace(reason, outcome=Outcome.NOT_RUN.value)
             )
-        if reason.kind is not Kind.BUSY:
+        if reason.kind is not FailureKind.BUSY:
             dispatcher.back_off(placement.address)
 
     async def _on_failure(
@@ -364,7 +374,7 @@
 
 def _no_endpoint(request: CallerRequest) -> Failure:
     return failure(
-        Kind.NO_ENDPOINT,
+        FailureKind.NO_ENDPOINT,
         f"no endpoint of {request.service_id} has announced itself; come "
         "back when one has",
         retry_after=random.uniform(1.0, 3.0),
@@ -373,7 +383,7 @@
 
 def _deadline_passed(retry_after: float) -> Failure:
     return failure(
-        Kind.DEADLINE,
+        FailureKind.DEADLINE,
         "the deadline passed before the request could be run",
         retry_after=retry_after,
     )
@@ -381,7 +391,7 @@
 
 def _stalled() -> Failure:
     return failure(
-        Kind.RESPONSE_TRUNCATED,
+        FailureKind.RESPONSE_TRUNCATED,
         "the caller read no data within the stall timeout",
         Outcome.UNKNOWN,
     )
@@ -389,7 +399,7 @@
 
 def _retry_budget_spent(reason: Failure) -> Failure:
     return failure(
-        Kind.RETRY_BUDGET_EXHAUSTED,
+        FailureKind.RETRY_BUDGET_EXHAUSTED,
         f"{reason.message}; not retried because the retry budget is spent",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -10,7 +10,7 @@
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import FailureBody
 from marjoramyard.fleet.util.headers import copy_headers, is_stream
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 
 OUTCOME_HEADER = "X-Marjoramyard-Outcome"
 MAX_BUFFERED_BYTES = 1 << 20
@@ -69,7 +69,7 @@
                 await self._add_data(frame.data)
         raise ResponseFailedError(
             failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 "the response ended without its end frame",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -25,8 +25,8 @@
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.errors import (
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     raise_failure,
 )
@@ -112,7 +112,7 @@
         """Handles a caller's request."""
         if self.leaving:
             raise_failure(
-                Kind.LEAVING,
+                FailureKind.LEAVING,
                 "this entry is being stopped; resend the request to another",
                 retry_after=1.0,
             )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/admission.py
@@ -15,7 +15,7 @@
 from marjoramyard.fleet.gateway.dialect import HeaderNames
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.util.headers import Headers, end_to_end
-from marjoramyard.kernel.errors import Kind, raise_failure
+from marjoramyard.kernel.errors import FailureKind, raise_failure
 
 NO_CONFIG_RETRY_SECONDS = 0.5
 """`Retry-After` while the gateway has no configuration yet."""
@@ -100,7 +100,7 @@
     table = view.table
     if table is None:
         raise_failure(
-            Kind.NO_LEASE,
+            FailureKind.NO_LEASE,
             "this gateway has no configuration yet; retry shortly",
             retry_after=NO_CONFIG_RETRY_SECONDS,
         )
@@ -108,13 +108,13 @@
     route = table.route(request.host, request.path)
     if route is None:
         raise_failure(
-            Kind.UNKNOWN_ROUTE,
+            FailureKind.UNKNOWN_ROUTE,
             "no route matches this host and path; check the configuration",
         )
     key, workspace = _workspace(request, route, table, names)
     if workspace is not None and not view.has_valid_lease():
         raise_failure(
-            Kind.NO_LEASE,
+            FailureKind.NO_LEASE,
             "the gateway can't reach the control hosts to verify keys; retry "
             "shortly",
             retry_after=NO_LEASE_RETRY_SECONDS,
@@ -158,7 +158,7 @@
     workspace = table.workspace_of_key(key)
     if workspace is None:
         raise_failure(
-            Kind.UNKNOWN_KEY if key else Kind.MISSING_KEY,
+            FailureKind.UNKNOWN_KEY if key else FailureKind.MISSING_KEY,
             f"send a valid key in {names.api_key}",
         )
     return key, workspace
@@ -174,7 +174,9 @@
         if text:
             allowed_ms = min(allowed_ms, float(text) - NETWORK_ALLOWANCE_MS)
     except ValueError:
-        raise_failure(Kind.BAD_REQUEST, f"{names.deadline_ms} must be a number")
+        raise_failure(
+            FailureKind.BAD_REQUEST, f"{names.deadline_ms} must be a number"
+        )
     return max(0.0, allowed_ms / 1000)
 
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/overload.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 
 from marjoramyard.fleet.util.jitter import jitter
-from marjoramyard.kernel.errors import Failure, FleetError, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, FleetError, failure
 
 LATE_SECONDS = 0.2
 """Event loop latency above which the limit is decreased."""
@@ -114,7 +114,7 @@
         """Counts a refused prompt and returns the failure for its caller."""
         self.refused[workspace] += 1
         return failure(
-            Kind.OVERLOADED,
+            FailureKind.OVERLOADED,
             "this gateway is overloaded; retry later",
             retry_after=jitter(OVERLOAD_RETRY_SECONDS),
         )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_handler.py
@@ -39,7 +39,12 @@
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.fleet.util.rpc import failure_response
-from marjoramyard.kernel.errors import Failure, FleetError, Kind, raise_failure
+from marjoramyard.kernel.errors import (
+    Failure,
+    FailureKind,
+    FleetError,
+    raise_failure,
+)
 from marjoramyard.kernel.logs import get_logger
 
 logger = get_logger(__name__)
@@ -144,7 +149,9 @@
         if self.limit.admits(name):
             return None
         kind = route.request_kind.value
-        self.metrics.count("requests", outcome=Kind.OVERLOADED.code, kind=kind)
+        self.metrics.count(
+            "requests", outcome=FailureKind.OVERLOADED.code, kind=kind
+        )
         return response_bytes(self._failure_response(self.limit.refuse(name)))
 
     def _needs_engine(self, route: Route) -> bool:
@@ -181,13 +188,13 @@
         """Refuses requests while draining or out of connections."""
         if self.is_refusing:
             raise_failure(
-                Kind.LEAVING,
+                FailureKind.LEAVING,
                 "this gateway is shutting down; use another one",
                 retry_after=LEAVING_RETRY_SECONDS,
             )
         if self.is_full():
             raise_failure(
-                Kind.BUSY,
+                FailureKind.BUSY,
                 "this gateway has too many connections; use another one",
                 retry_after=jitter(BUSY_RETRY_SECONDS),
             )
@@ -200,7 +207,7 @@
         """
         if caller.deadline_at > self.stops_at:
             raise_failure(
-                Kind.LEAVING,
+                FailureKind.LEAVING,
                 "this gateway shuts down before the deadline; use another one",
                 retry_after=LEAVING_RETRY_SECONDS,
             )
@@ -218,7 +225,7 @@
         now = time.monotonic()
         kind = caller.route.request_kind.value if caller else "none"
         self.metrics.count("requests", outcome=outcome, kind=kind)
-        if outcome == Kind.OVERLOADED.code:
+        if outcome == FailureKind.OVERLOADED.code:
             # Logging each refused request would add to the overload.
             return
         self.metrics.observe("request_seconds", now - started_at, kind=kind)
--- a/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/request_run.py
@@ -41,8 +41,8 @@
 from marjoramyard.fleet.util.jitter import jitter
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
 )
@@ -192,7 +192,7 @@
             return self._no_endpoint_failure()
         seconds = max(reply.retry_after_ms / 1000, MIN_RETRY_SECONDS)
         return failure(
-            Kind.BUSY,
+            FailureKind.BUSY,
             "the response would miss its objective; retry after the overload",
             retry_after=jitter(seconds),
         )
@@ -210,9 +210,13 @@
             return
         workspace = self.view.table.workspace_of_key(self.caller.api_key)
         if workspace is None or not self.view.has_valid_lease():
-            kind = Kind.UNKNOWN_KEY if workspace is None else Kind.NO_LEASE
+            kind = (
+                FailureKind.UNKNOWN_KEY
+                if workspace is None
+                else FailureKind.NO_LEASE
+            )
             if self.may_have_run:
-                kind = Kind.ENDPOINT_LOST
+                kind = FailureKind.ENDPOINT_LOST
             raise FleetError(
                 failure(
                     kind,
@@ -381,13 +385,13 @@
     def _no_endpoint_failure(self) -> Failure:
         if self.may_have_run:
             return failure(
-                Kind.ENDPOINT_LOST,
+                FailureKind.ENDPOINT_LOST,
                 "the endpoint was lost while the request ran, and no other is "
                 "available; check the result before sending it again",
                 Outcome.UNKNOWN,
             )
         return failure(
-            Kind.NO_ENDPOINT,
+            FailureKind.NO_ENDPOINT,
             "no endpoint accepts requests now; retry shortly",
             retry_after=jitter(BUSY_RETRY_SECONDS),
         )
@@ -395,14 +399,14 @@
     def _attempts_failure(self, error: SendFailedError) -> Failure:
         if self.may_have_run:
             return failure(
-                Kind.ENDPOINT_LOST,
+                FailureKind.ENDPOINT_LOST,
                 f"no complete response from the endpoint ({error.reason}); the "
                 "request may have run",
                 Outcome.UNKNOWN,
             )
         wait_seconds = error.retry_after or BUSY_RETRY_SECONDS
         return failure(
-            Kind.BUSY,
+            FailureKind.BUSY,
             "all available endpoints are at capacity; retry later",
             retry_after=jitter(wait_seconds),
         )
@@ -411,12 +415,12 @@
         """Returns the failure of a request whose deadline has passed."""
         if self.may_have_run:
             return failure(
-                Kind.DEADLINE,
+                FailureKind.DEADLINE,
                 "no response before the deadline; the request may have run",
                 Outcome.UNKNOWN,
             )
         return failure(
-            Kind.BUSY,
+            FailureKind.BUSY,
             "the deadline passed before the request was sent; it has not run",
             retry_after=jitter(BUSY_RETRY_SECONDS),
         )
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -17,7 +17,7 @@
 from marjoramyard.fleet.messages import RenewReply, RenewRequest
 from marjoramyard.fleet.paths import RENEW_PATH
 from marjoramyard.fleet.util.control_client import ControlClient
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.ids import Fingerprint
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.metrics import Metrics
@@ -91,7 +91,7 @@
         if self.holds_lease():
             return None
         return failure(
-            Kind.NO_LEASE,
+            FailureKind.NO_LEASE,
             "this router has no valid configuration lease; try another "
             "router, or this one again later",
             retry_after=random.uniform(1.0, 3.0),
--- a/packages/fleet/src/marjoramyard/fleet/refusals.py
+++ b/packages/fleet/src/marjoramyard/fleet/refusals.py
@@ -1,6 +1,6 @@
 """Failures that both entries and agents return."""
 
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 
 
 def quarantined(seconds: float) -> Failure:
@@ -10,7 +10,7 @@
         seconds: The rest of the quarantine.
     """
     return failure(
-        Kind.QUARANTINED,
+        FailureKind.QUARANTINED,
         "endpoints died each time this request ran; change it, or wait for "
         "the quarantine to end",
         retry_after=seconds,
--- a/packages/fleet/src/marjoramyard/fleet/util/control_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/control_client.py
@@ -10,7 +10,7 @@
 from marjoramyard.fleet.messages import CallLookUp, Query, QueryReply
 from marjoramyard.fleet.paths import COMMAND_PATH, LOOK_UP_PATH, QUERY_PATH
 from marjoramyard.fleet.util.rpc import InternalClient
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 
 T = TypeVar("T")
 
@@ -19,7 +19,12 @@
 reply."""
 _RETRY_SECONDS = 0.15
 _TRANSIENT = frozenset(
-    {Kind.NOT_LEADER, Kind.NO_QUORUM, Kind.NO_ENDPOINT, Kind.UNINITIALISED}
+    {
+        FailureKind.NOT_LEADER,
+        FailureKind.NO_QUORUM,
+        FailureKind.NO_ENDPOINT,
+        FailureKind.UNINITIALISED,
+    }
 )
 
 
@@ -94,7 +99,7 @@
     @staticmethod
     def _no_leader_failure(last: Failure) -> Failure:
         return failure(
-            Kind.NO_QUORUM,
+            FailureKind.NO_QUORUM,
             f"no control leader replied (last failure: {last.message})",
             Outcome.UNKNOWN,
             retry_after=last.retry_after or 2.0,
--- a/packages/fleet/src/marjoramyard/fleet/util/rpc.py
+++ b/packages/fleet/src/marjoramyard/fleet/util/rpc.py
@@ -15,8 +15,8 @@
 from marjoramyard.fleet.messages import FailureBody
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
 )
@@ -86,7 +86,7 @@
             if not hmac.compare_digest(given, expected):
                 return failure_response(
                     failure(
-                        Kind.UNAUTHENTICATED,
+                        FailureKind.UNAUTHENTICATED,
                         "internal address; send the secret in secret_file",
                     )
                 )
@@ -104,12 +104,12 @@
         return failure_response(error.failure)
     except msgspec.DecodeError as error:
         return failure_response(
-            failure(Kind.BAD_REQUEST, f"{error}; correct the request")
+            failure(FailureKind.BAD_REQUEST, f"{error}; correct the request")
         )
     except web.HTTPException as error:
-        kind = Kind.UNKNOWN_ROUTE
-        if error.status == Kind.TOO_LARGE.status:
-            kind = Kind.TOO_LARGE
+        kind = FailureKind.UNKNOWN_ROUTE
+        if error.status == FailureKind.TOO_LARGE.status:
+            kind = FailureKind.TOO_LARGE
         return failure_response(
             failure(kind, f"{error.reason}; see docs/usage/api.md")
         )
@@ -119,7 +119,7 @@
         logger.exception("handler_failed", path=request.path)
         return failure_response(
             failure(
-                Kind.INTERNAL,
+                FailureKind.INTERNAL,
                 "internal error; report it with the time",
                 Outcome.UNKNOWN,
             )
@@ -184,12 +184,15 @@
                     data = await response.read()
         except aiohttp.ClientConnectorError as error:
             return Err(
-                failure(Kind.NO_ENDPOINT, f"{address} is unreachable: {error}")
+                failure(
+                    FailureKind.NO_ENDPOINT,
+                    f"{address} is unreachable: {error}",
+                )
             )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(
                 failure(
-                    Kind.NO_ENDPOINT,
+                    FailureKind.NO_ENDPOINT,
                     f"{address} did not reply: {error!r}",
                     Outcome.UNKNOWN,
                 )
@@ -214,7 +217,7 @@
     except msgspec.DecodeError as error:
         return Err(
             failure(
-                Kind.INTERNAL,
+                FailureKind.INTERNAL,
                 f"invalid reply: {error}; compare the releases in use",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/tests/agent/test_attempt_service.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -15,7 +15,7 @@
 from marjoramyard.fleet.agent.meters import METERS
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.messages import CallTicket, CancelReply, RunRequest
-from marjoramyard.kernel.errors import FleetError, Kind, failure
+from marjoramyard.kernel.errors import FailureKind, FleetError, failure
 
 
 def run_request(attempt="a1", call=None):
@@ -72,7 +72,7 @@
     )
     with pytest.raises(FleetError) as refused:
         await service.on_run(late)
-    assert refused.value.failure.kind is Kind.CANCELLED
+    assert refused.value.failure.kind is FailureKind.CANCELLED
 
 
 async def test_a_cancellation_while_a_hold_is_awaited_prevents_sending():
@@ -81,7 +81,7 @@
     service.tombstones["a1"] = None
     with pytest.raises(FleetError) as refused:
         await service._start_call(run_request())
-    assert refused.value.failure.kind is Kind.CANCELLED
+    assert refused.value.failure.kind is FailureKind.CANCELLED
 
 
 async def _read_nothing():
@@ -97,12 +97,14 @@
         (
             Ok(
                 Reply(
-                    call=LedgerView(refusal=failure(Kind.CANCELLED, "given up"))
+                    call=LedgerView(
+                        refusal=failure(FailureKind.CANCELLED, "given up")
+                    )
                 )
             ),
             False,
         ),
-        (Err(failure(Kind.NO_QUORUM, "no reply")), False),
+        (Err(failure(FailureKind.NO_QUORUM, "no reply")), False),
     ],
 )
 async def test_a_call_is_sent_only_after_its_own_start_is_committed(
@@ -119,7 +121,7 @@
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, SimpleNamespace(), control)
     assert await guard.hold("one") is None
-    assert (await guard.hold("two")).kind is Kind.SUSPECT_HELD
+    assert (await guard.hold("two")).kind is FailureKind.SUSPECT_HELD
 
 
 async def test_a_suspect_that_is_held_elsewhere_waits():
@@ -127,7 +129,7 @@
     membership = SimpleNamespace(quarantine_seconds_left=lambda _: None)
     app = SimpleNamespace(incarnation="agent~1")
     guard = SuspectGuard(app, membership, control)
-    assert (await guard.hold("one")).kind is Kind.SUSPECT_HELD
+    assert (await guard.hold("one")).kind is FailureKind.SUSPECT_HELD
     assert guard.held is None
 
 
--- a/packages/fleet/tests/entry/test_admission.py
+++ b/packages/fleet/tests/entry/test_admission.py
@@ -8,7 +8,7 @@
 
 from marjoramyard.coordination.governance.bundle import BundleView
 from marjoramyard.fleet.entry.admission import Admission
-from marjoramyard.kernel.errors import FleetError, Kind, failure
+from marjoramyard.kernel.errors import FailureKind, FleetError, failure
 
 KEY_HASH = hashlib.sha256(b"secret-key").hexdigest()
 ROWS = {
@@ -84,7 +84,7 @@
     admission, _ = make()
     path = "/services/shop/anything"
     assert await refused(admission, request(Body([]), path)) is (
-        Kind.IDEMPOTENCY_KEY_REQUIRED
+        FailureKind.IDEMPOTENCY_KEY_REQUIRED
     )
     incoming = request(Body([b"{}"]), path, Idempotency_Key="k")
     admitted = await admission.admit(incoming)
@@ -95,14 +95,17 @@
     """A body without a declared length must not fill the memory."""
     admission, _ = make()
     body = Body([b"x" * 60] * 1000)
-    assert await refused(admission, request(body)) is Kind.TOO_LARGE
+    assert await refused(admission, request(body)) is FailureKind.TOO_LARGE
     assert body.chunks_read <= 5
 
 
 async def test_a_body_over_its_own_services_limit_is_refused():
     admission, _ = make()
     large = CHAT + b" " * 120
-    assert await refused(admission, request(Body([large]))) is Kind.TOO_LARGE
+    assert (
+        await refused(admission, request(Body([large])))
+        is FailureKind.TOO_LARGE
+    )
 
 
 async def test_a_workspace_that_is_removed_meanwhile_is_refused():
@@ -113,7 +116,7 @@
         bundle.apply({}, ["workspaces/counter"])
 
     incoming = request(Body([CHAT], remove))
-    assert await refused(admission, incoming) is Kind.UNKNOWN_KEY
+    assert await refused(admission, incoming) is FailureKind.UNKNOWN_KEY
 
 
 async def test_a_repeated_header_is_refused():
@@ -121,13 +124,13 @@
     incoming = request(Body([CHAT]))
     incoming.headers.add("Idempotency-Key", "a")
     incoming.headers.add("idempotency-key", "b")
-    assert await refused(admission, incoming) is Kind.BAD_REQUEST
+    assert await refused(admission, incoming) is FailureKind.BAD_REQUEST
 
 
 async def test_a_huge_header_is_refused():
     admission, _ = make()
     incoming = request(Body([CHAT]), X_Long="x" * 600)
-    assert await refused(admission, incoming) is Kind.TOO_LARGE
+    assert await refused(admission, incoming) is FailureKind.TOO_LARGE
 
 
 @pytest.mark.parametrize(
@@ -143,7 +146,9 @@
     key, and it would run twice.
     """
     admission, _ = make()
-    admission.membership.refusal = lambda: failure(Kind.NO_LEASE, "no lease")
+    admission.membership.refusal = lambda: failure(
+        FailureKind.NO_LEASE, "no lease"
+    )
     with pytest.raises(FleetError) as error:
         await admission.admit(request(Body([CHAT]), **headers))
     assert error.value.failure.outcome == outcome
--- a/packages/fleet/tests/entry/test_dispatchers.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -10,7 +10,7 @@
     RequestClass,
 )
 from marjoramyard.fleet.entry.dispatchers import Dispatchers
-from marjoramyard.kernel.errors import FleetError, Kind
+from marjoramyard.kernel.errors import FailureKind, FleetError
 
 
 def row(number, zone="zone-a", state="ready"):
@@ -157,7 +157,7 @@
     with pytest.raises(FleetError) as refused:
         await dispatcher.wait(request_, first=False)
     reason = refused.value.failure
-    assert reason.kind is Kind.WORKSPACE_FULL
+    assert reason.kind is FailureKind.WORKSPACE_FULL
     assert reason.outcome == "not-run"
     assert reason.retry_after >= 1.0
 
@@ -168,7 +168,7 @@
     with pytest.raises(FleetError) as refused:
         await dispatcher.wait(caller_request(), first=False)
     reason = refused.value.failure
-    assert reason.kind is Kind.DEADLINE
+    assert reason.kind is FailureKind.DEADLINE
     assert reason.outcome == "not-run"
     assert reason.retry_after >= 1.0
     assert dispatcher.queue.count() == 0
--- a/packages/fleet/tests/entry/test_request_handler.py
+++ b/packages/fleet/tests/entry/test_request_handler.py
@@ -12,8 +12,8 @@
 )
 from marjoramyard.fleet.entry.responses import ResponseFailedError
 from marjoramyard.kernel.errors import (
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
 )
@@ -34,7 +34,7 @@
 
 
 def lost(outcome):
-    return failure(Kind.ENDPOINT_LOST, "gone", outcome)
+    return failure(FailureKind.ENDPOINT_LOST, "gone", outcome)
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
         (AttemptLostError(lost(Outcome.UNKNOWN)), False, True),
         (
             ResponseFailedError(
-                failure(Kind.ENDPOINT_STALLED, "", Outcome.UNKNOWN)
+                failure(FailureKind.ENDPOINT_STALLED, "", Outcome.UNKNOWN)
             ),
             False,
             False,
@@ -64,7 +64,7 @@
 
 def test_a_request_that_was_queued_past_the_lease_is_not_sent():
     """The lease expired in the queue, and a grant arrived afterwards."""
-    refusal = failure(Kind.NO_LEASE, "no lease", retry_after=1.0)
+    refusal = failure(FailureKind.NO_LEASE, "no lease", retry_after=1.0)
     handler = SimpleNamespace(
         membership=SimpleNamespace(refusal=lambda: refusal)
     )
@@ -72,7 +72,7 @@
         RequestHandler._check_may_run(
             handler, SimpleNamespace(), FakeDispatcher()
         )
-    assert refused.value.failure.kind is Kind.NO_LEASE
+    assert refused.value.failure.kind is FailureKind.NO_LEASE
 
 
 def test_retry_budgets_follow_the_policy_in_force():
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -7,7 +7,7 @@
     MIN_LIMIT,
     ConcurrencyLimit,
 )
-from marjoramyard.kernel.errors import FleetError, Kind
+from marjoramyard.kernel.errors import FailureKind, FleetError
 
 LATE = 2 * LATE_SECONDS
 
@@ -51,7 +51,7 @@
     limit.on_wake_up(LATE)
     with pytest.raises(FleetError) as caught, limit.admit("large"):
         pass
-    assert caught.value.failure.kind is Kind.OVERLOADED
+    assert caught.value.failure.kind is FailureKind.OVERLOADED
     assert caught.value.failure.retry_after > 1
     assert limit.pop_refused_counts() == {"large": 1}
     assert limit.total == 200
--- a/packages/fleet/tests/gateway/test_request_run.py
+++ b/packages/fleet/tests/gateway/test_request_run.py
@@ -21,7 +21,7 @@
 from marjoramyard.fleet.gateway.request_run import RequestRun, RequestRunContext
 from marjoramyard.fleet.gateway.request_trace import RequestTrace
 from marjoramyard.fleet.gateway.view import FleetView
-from marjoramyard.kernel.errors import FleetError, Kind
+from marjoramyard.kernel.errors import FailureKind, FleetError
 from marjoramyard.kernel.metrics import Metrics
 
 SERVICE = Service("api")
@@ -99,6 +99,6 @@
     run = make_run(view, metrics, is_late)
     with pytest.raises(FleetError) as caught:
         await run.run_to_completion()
-    assert caught.value.failure.kind is Kind.NO_ENDPOINT
+    assert caught.value.failure.kind is FailureKind.NO_ENDPOINT
     health = view.health_of("e0")
     assert health.is_backing_off(time.monotonic()) is not is_late
--- a/packages/fleet/tests/test_membership.py
+++ b/packages/fleet/tests/test_membership.py
@@ -13,7 +13,7 @@
 from marjoramyard.coordination.governance.orders import FencingGuard
 from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import RenewReply
-from marjoramyard.kernel.errors import Kind, failure
+from marjoramyard.kernel.errors import FailureKind, failure
 
 ROW = DirectoryRow("entry-1~a", "entry", "zone-a", "127.0.0.1:1")
 SERVICE = {"kind": "engine"}
@@ -101,7 +101,7 @@
 async def test_without_replies_the_lease_ends_and_refusals_have_a_delay(
     monkeypatch,
 ):
-    lost = Err(failure(Kind.NO_ENDPOINT, "gone"))
+    lost = Err(failure(FailureKind.NO_ENDPOINT, "gone"))
     router, control = make_router(snapshot(1, "c1"), lost)
     await router._renew_once()
     assert router.refusal() is None
@@ -109,7 +109,7 @@
     assert control.deselected_hosts == ["127.0.0.1:9001"]
     router.lease.valid_until -= 9.0
     refusal = router.refusal()
-    assert refusal.kind is Kind.NO_LEASE
+    assert refusal.kind is FailureKind.NO_LEASE
     assert refusal.retry_after > 0
 
 
@@ -121,7 +121,7 @@
 
 
 async def test_a_follower_redirects_to_the_leader():
-    refusal = failure(Kind.NOT_LEADER, "not me")
+    refusal = failure(FailureKind.NOT_LEADER, "not me")
     refusal = type(refusal)(
         refusal.code, refusal.message, refusal.outcome, None, "127.0.0.1:9002"
     )
@@ -158,9 +158,9 @@
 def test_an_agent_admits_no_order_before_it_knows_the_newest():
     """Guards against an old order after a restart of the agent."""
     guard = FencingGuard()
-    assert guard.admit(3).kind is Kind.STALE_FENCING_NUMBER
+    assert guard.admit(3).kind is FailureKind.STALE_FENCING_NUMBER
     guard.observe(5)
-    assert guard.admit(4).kind is Kind.STALE_FENCING_NUMBER
+    assert guard.admit(4).kind is FailureKind.STALE_FENCING_NUMBER
     assert guard.admit(5) is None
 
 
--- a/packages/kernel/src/marjoramyard/kernel/errors.py
+++ b/packages/kernel/src/marjoramyard/kernel/errors.py
@@ -17,7 +17,7 @@
     UNKNOWN = "unknown"
 
 
-class Kind(Enum):
+class FailureKind(Enum):
     """The kinds of failure: the error code and the HTTP status of each."""
 
     MISSING_KEY = ("missing_api_key", 401)
@@ -68,14 +68,14 @@
         return self.value[1]
 
 
-KIND_BY_CODE = {kind.code: kind for kind in Kind}
+FAILURE_KIND_BY_CODE = {kind.code: kind for kind in FailureKind}
 
 
 class Failure(msgspec.Struct, frozen=True, omit_defaults=True):
     """A failure as it is sent between processes and to callers.
 
     Attributes:
-        code: The `Kind.code`.
+        code: The `FailureKind.code`.
         message: What happened and what to do about it.
         outcome: The `Outcome` value of the request.
         retry_after: Seconds to wait before a retry; None if a retry won't
@@ -91,13 +91,13 @@
     leader: str | None = None
 
     @property
-    def kind(self) -> Kind:
+    def kind(self) -> FailureKind:
         """The kind; `INTERNAL` for a code that this release doesn't know."""
-        return KIND_BY_CODE.get(self.code, Kind.INTERNAL)
+        return FAILURE_KIND_BY_CODE.get(self.code, FailureKind.INTERNAL)
 
 
 def failure(
-    kind: Kind,
+    kind: FailureKind,
     message: str,
     outcome: Outcome = Outcome.NOT_RUN,
     retry_after: float | None = None,
@@ -115,7 +115,7 @@
 
 
 def raise_failure(
-    kind: Kind,
+    kind: FailureKind,
     message: str,
     outcome: Outcome = Outcome.NOT_RUN,
     retry_after: float | None = None,
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -12,7 +12,7 @@
 from marjoramyard.coordination.membership.registrations import EndpointState
 from marjoramyard.coordination.routing.config import RequestKind
 from marjoramyard.fleet.sync_messages import StoredConfig
-from marjoramyard.kernel.errors import Kind, failure
+from marjoramyard.kernel.errors import FailureKind, failure
 from marjoramyard.platform.configurations import (
     check_configuration,
     read_configuration,
@@ -87,13 +87,13 @@
 
     async def put_config(self, document):
         if not self.quorum:
-            return Err(failure(Kind.NO_QUORUM, "none"))
+            return Err(failure(FailureKind.NO_QUORUM, "none"))
         self.document = document
         return Ok(None)
 
     async def read_config(self):
         if not self.quorum:
-            return Err(failure(Kind.NO_QUORUM, "none"))
+            return Err(failure(FailureKind.NO_QUORUM, "none"))
         return Ok(StoredConfig(self.document))
 
 
