--- a/bench/routers.py
+++ b/bench/routers.py
@@ -90,7 +90,7 @@
         )
         self.membership = RouterMembership(control, QuietMetrics(), lambda: row)
         self.installed: dict[int, float] = {}
-        self.membership.on_bundle.append(self._note)
+        self.membership.bundle_listeners.append(self._note)
         self.task: asyncio.Task | None = None
 
     def _note(self) -> None:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -104,7 +104,7 @@
 
 
 def _build_agent_bundle(count: int) -> BundleView:
-    view = BundleView(keeps_rows=False, keeps_keys=False)
+    view = BundleView(keeps_rows=False, keeps_api_keys=False)
     view.install(1, "x", _raw_rows(count))
     return view
 
--- a/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/bundle.py
@@ -222,13 +222,13 @@
     Attributes:
         keeps_rows: Whether to keep the plain rows and their digest. Only
             control hosts need them; routers save the memory.
-        keeps_keys: Whether to keep the workspaces' API keys and services.
+        keeps_api_keys: Whether to keep the workspaces' API keys and services.
             Entries need them; agents only need the shares.
     """
 
-    def __init__(self, keeps_rows: bool = True, keeps_keys: bool = True):
+    def __init__(self, keeps_rows: bool = True, keeps_api_keys: bool = True):
         self.keeps_rows = keeps_rows
-        self.keeps_keys = keeps_keys
+        self.keeps_api_keys = keeps_api_keys
         self.version = 0
         self.chain = ""
         self.rows: Rows = {}
@@ -244,7 +244,7 @@
 
     def install(self, version: int, chain: str, rows: Rows) -> None:
         """Replaces the contents with a snapshot."""
-        self.__init__(self.keeps_rows, self.keeps_keys)
+        self.__init__(self.keeps_rows, self.keeps_api_keys)
         self.apply(rows, [])
         self.version = version
         self.chain = chain
@@ -286,7 +286,7 @@
 
     def _reduce_workspace(self, value: Workspace) -> Workspace:
         """Drops unneeded fields and interns service names to save memory."""
-        if not self.keeps_keys:
+        if not self.keeps_api_keys:
             return msgspec.structs.replace(value, services=(), key_hashes=())
         services = tuple(sys.intern(name) for name in value.services)
         return msgspec.structs.replace(value, services=services)
--- a/packages/coordination/src/marjoramyard/coordination/serving/frames.py
+++ b/packages/coordination/src/marjoramyard/coordination/serving/frames.py
@@ -54,12 +54,12 @@
 class Frame(msgspec.Struct):
     """A frame: header and data."""
 
-    head: FrameHeader
+    header: FrameHeader
     data: bytes = b""
 
     def encode(self) -> bytes:
         """Returns the wire format of the frame."""
-        return msgspec.json.encode(self.head) + b"\n" + self.data
+        return msgspec.json.encode(self.header) + b"\n" + self.data
 
 
 KEEPALIVE = Frame(FrameHeader(-1))
@@ -98,15 +98,15 @@
     def add_data(self, chunk: bytes) -> None:
         """Adds a chunk of the response body."""
         self.checksum = zlib.crc32(chunk, self.checksum)
-        head = FrameHeader(self.next_number, size=len(chunk))
-        self._append(Frame(head, chunk))
+        header = FrameHeader(self.next_number, size=len(chunk))
+        self._append(Frame(header, chunk))
 
     def end(self) -> None:
         """Adds the end frame of a complete response."""
         number = self.next_number
-        head = FrameHeader(number, frames=number, checksum=self.checksum)
+        header = FrameHeader(number, frames=number, checksum=self.checksum)
         self.finished = True
-        self._append(Frame(head))
+        self._append(Frame(header))
 
     def fail(self, reason: Failure) -> None:
         """Adds the last frame of a response that is incomplete or missing."""
@@ -171,17 +171,17 @@
             BrokenResponseError: A frame is missing, or the end frame does
                 not match the frames received.
         """
-        head = frame.head
-        if head.n < self.next_number:
+        header = frame.header
+        if header.n < self.next_number:
             return False
-        if head.n > self.next_number:
+        if header.n > self.next_number:
             raise BrokenResponseError(
-                f"got frame {head.n} instead of {self.next_number}"
+                f"got frame {header.n} instead of {self.next_number}"
             )
         self.next_number += 1
         self.checksum = zlib.crc32(frame.data, self.checksum)
-        if head.is_end:
-            if head.frames != head.n or head.checksum != self.checksum:
+        if header.is_end:
+            if header.frames != header.n or header.checksum != self.checksum:
                 raise BrokenResponseError(
                     "frame count or checksum of the response does not match"
                 )
@@ -189,7 +189,7 @@
         return True
 
 
-_HEAD_DECODER = msgspec.json.Decoder(FrameHeader)
+_HEADER_DECODER = msgspec.json.Decoder(FrameHeader)
 
 
 class FrameParser:
@@ -197,7 +197,7 @@
 
     def __init__(self):
         self.buffer = bytearray()
-        self.head: FrameHeader | None = None
+        self.header: FrameHeader | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
         """Adds data and returns the frames that are complete now.
@@ -212,22 +212,22 @@
         return frames
 
     def _next(self) -> Frame | None:
-        if self.head is None:
+        if self.header is None:
             end = self.buffer.find(b"\n")
             if end < 0:
                 if len(self.buffer) > MAX_HEADER_BYTES:
                     raise BrokenResponseError("frame header is too long")
                 return None
             try:
-                self.head = _HEAD_DECODER.decode(bytes(self.buffer[:end]))
+                self.header = _HEADER_DECODER.decode(bytes(self.buffer[:end]))
             except msgspec.DecodeError as error:
                 raise BrokenResponseError(
                     f"invalid frame header: {error}"
                 ) from error
             del self.buffer[: end + 1]
-        if len(self.buffer) < self.head.size:
+        if len(self.buffer) < self.header.size:
             return None
-        data = bytes(self.buffer[: self.head.size])
-        del self.buffer[: self.head.size]
-        frame, self.head = Frame(self.head, data), None
+        data = bytes(self.buffer[: self.header.size])
+        del self.buffer[: self.header.size]
+        frame, self.header = Frame(self.header, data), None
         return frame
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -60,13 +60,13 @@
         membership: RouterMembership,
         control: ControlClient,
         endpoint: Endpoint,
-        slots: SlotAllocator,
+        slot_allocator: SlotAllocator,
     ):
         self.app = app
         self.membership = membership
         self.control = control
         self.endpoint = endpoint
-        self.slots = slots
+        self.slot_allocator = slot_allocator
         self.guard = SuspectGuard(app, membership, control)
         self.attempts: dict[AttemptId, Attempt] = {}
         self.ended: dict[AttemptId, float] = {}
@@ -90,7 +90,7 @@
     async def on_offer(self, request: web.Request) -> web.Response:
         """Handles an entry's offer of queued requests."""
         message = await read_message(request, OfferMessage)
-        return json_response(self.slots.on_offer(message))
+        return json_response(self.slot_allocator.on_offer(message))
 
     # Run.
 
@@ -112,13 +112,13 @@
                 FailureKind.CANCELLED, "the entry cancelled this attempt"
             )
         workspace = WorkspaceId(run.workspace)
-        refusal = self.slots.admit(workspace, run.grant)
+        refusal = self.slot_allocator.admit(workspace, run.grant)
         if refusal is not None:
             raise FleetError(refusal)
         try:
             attempt = await self._prepare(run, body)
         except BaseException:
-            self.slots.release()
+            self.slot_allocator.release()
             raise
         attempt.task = self.app.tasks.spawn(self._execute(attempt))
         return await self._stream(request, attempt, 0)
@@ -152,7 +152,11 @@
                 self.guard.release(fingerprint, clear=False)
             raise
         attempt = Attempt(
-            run, body, self.endpoint, self.slots.scheduler, service.kind
+            run,
+            body,
+            self.endpoint,
+            self.slot_allocator.scheduler,
+            service.kind,
         )
         attempt.held_suspect = held
         self.attempts[AttemptId(run.attempt)] = attempt
@@ -187,7 +191,7 @@
             if attempt.state is not AttemptState.ENDED:
                 attempt.finish(_interrupted())
             self.ended[AttemptId(run.attempt)] = time.monotonic()
-            self.slots.release()
+            self.slot_allocator.release()
         if attempt.resumes:
             self.app.metrics.count("engine_resumes", attempt.resumes)
         outcome = "complete" if reason is None else reason.code
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -266,7 +266,7 @@
         if tokens:
             if self.last_token_at is not None:
                 gap = (now - self.last_token_at) / tokens
-                self.endpoint.slots.record_gap(gap)
+                self.endpoint.slot_limit.record_gap(gap)
             self.last_token_at = now
         if self.run_request.call is not None:
             self.response_body += chunk
@@ -333,10 +333,10 @@
                 if frames:
                     # One write for all frames saves system calls.
                     await write(b"".join(frame.encode() for frame in frames))
-                    number = frames[-1].head.n + 1
+                    number = frames[-1].header.n + 1
                     self.replay_buffer.mark_sent(number)
                     self.space_available.set()
-                    if frames[-1].head.is_last:
+                    if frames[-1].header.is_last:
                         self.is_delivered = True
                         return
                     continue
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -25,7 +25,7 @@
         announced: The last announcement.
         last_announced_at: Monotonic time, in seconds.
         dead_incarnation: The last incarnation that was found dead.
-        slots: The limit of concurrent requests.
+        slot_limit: The limit of concurrent requests.
         prefixes: The prompt prefixes that its cache may hold.
     """
 
@@ -34,7 +34,7 @@
         self.announced: EndpointAnnouncement | None = None
         self.last_announced_at = float("-inf")
         self.dead_incarnation = ""
-        self.slots = SlotLimit(1)
+        self.slot_limit = SlotLimit(1)
         self.prefixes = PrefixHistory()
 
     def on_announcement(self, announcement: EndpointAnnouncement) -> bool:
@@ -49,7 +49,7 @@
         )
         if is_restart:
             self.prefixes = PrefixHistory()
-            self.slots = SlotLimit(self._capped(announcement.slots))
+            self.slot_limit = SlotLimit(self._capped(announcement.slots))
             logger.info(
                 "endpoint_announced",
                 name=announcement.name,
@@ -57,7 +57,7 @@
             )
         self.announced = announcement
         self.last_announced_at = time.monotonic()
-        self.slots.set_announced(self._capped(announcement.slots))
+        self.slot_limit.set_announced(self._capped(announcement.slots))
         if announcement.event_number >= 0:
             self.prefixes.on_evictions(
                 announcement.event_number, announcement.evicted
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -33,16 +33,20 @@
         self.endpoint = Endpoint(app.settings.max_slots)
         self.control = ControlClient(app.client, app.settings.control_hosts)
         self.membership = RouterMembership(
-            self.control, app.metrics, self.row, keeps_keys=False
+            self.control, app.metrics, self.row, keeps_api_keys=False
         )
-        self.slots = SlotAllocator(
+        self.slot_allocator = SlotAllocator(
             app, self.membership, self.endpoint, lambda: self.leaving
         )
         self.attempt_service = AttemptService(
-            app, self.membership, self.control, self.endpoint, self.slots
+            app,
+            self.membership,
+            self.control,
+            self.endpoint,
+            self.slot_allocator,
         )
         self.order_forwarder = OrderForwarder(app, self.endpoint)
-        self.membership.on_order.append(self.order_forwarder.on_order)
+        self.membership.order_listeners.append(self.order_forwarder.on_order)
 
     def row(self) -> DirectoryRow:
         """Returns this agent's directory row."""
@@ -59,7 +63,7 @@
             settings.advertised_address,
             announced.service if announced else "",
             state,
-            self.endpoint.slots.limit if announced else 0,
+            self.endpoint.slot_limit.limit if announced else 0,
             announced.name if announced else "",
             announced.checks_fencing if announced else False,
         )
@@ -68,7 +72,7 @@
         """Starts the background tasks."""
         for coroutine in (
             self.membership.run(),
-            self.slots.maintain(),
+            self.slot_allocator.maintain(),
             self.attempt_service.sweep(),
             self.order_forwarder.run(self.attempt_service.session),
             self._watch_endpoint(),
@@ -95,12 +99,12 @@
         if self.endpoint.on_announcement(announcement):
             self.order_forwarder.wake.set()
             self.membership.announce_now()
-        self.slots.grant_free_slots()
+        self.slot_allocator.grant_free_slots()
         return json_response(Empty())
 
     def is_ready(self) -> bool:
         """Returns whether new work may start here."""
-        return self.slots.accepts_work()
+        return self.slot_allocator.accepts_work()
 
     async def drain(self) -> None:
         """Refuses new work and waits until no attempt runs or is read.
@@ -110,7 +114,7 @@
         """
         self.leaving = True
         self.membership.announce_now()
-        while self.slots.running or any(
+        while self.slot_allocator.running or any(
             attempt.reader is not None
             for attempt in self.attempt_service.attempts.values()
         ):
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -61,7 +61,7 @@
     next workspace is chosen at once.
 
     Attributes:
-        links: The exchange of totals with each entry.
+        totals_syncs: The exchange of totals with each entry.
         addresses: The entries' addresses.
         reported_busy_to: Entries that were last sent a count of 0 free slots.
         grants: The grants that are not used yet, by id.
@@ -89,7 +89,7 @@
             self._share_of,
             membership.bundle.policy.fairness(),
         )
-        self.links: dict[str, TotalsSync] = {}
+        self.totals_syncs: dict[str, TotalsSync] = {}
         self.addresses: dict[str, str] = {}
         self.reported_busy_to: set[str] = set()
         self.grants: dict[str, Grant] = {}
@@ -97,7 +97,7 @@
         self.busy_seconds = 0.0
         self.idle_while_waiting = 0.0
         self.accounted_until = time.monotonic()
-        membership.on_bundle.append(self._on_bundle)
+        membership.bundle_listeners.append(self._on_bundle)
         self._register_gauges()
 
     def _share_of(self, workspace: WorkspaceId) -> float:
@@ -132,7 +132,7 @@
     @property
     def free(self) -> int:
         """The number of slots that are neither running nor granted."""
-        limit = self.endpoint.slots.limit
+        limit = self.endpoint.slot_limit.limit
         return max(0, limit - self.running - len(self.grants))
 
     def _update_usage(self) -> None:
@@ -142,7 +142,7 @@
         self.busy_seconds += elapsed * self.running
         if self.scheduler.has_waiting() and self.endpoint.is_ready:
             # A granted slot counts as idle until its attempt starts.
-            idle = max(0, self.endpoint.slots.limit - self.running)
+            idle = max(0, self.endpoint.slot_limit.limit - self.running)
             waiting = self.scheduler.waiting_count() + len(self.grants)
             self.idle_while_waiting += elapsed * min(idle, waiting)
 
@@ -162,20 +162,20 @@
 
     # Messages from entries.
 
-    def link(self, entry: str) -> TotalsSync:
+    def _totals_sync(self, entry: str) -> TotalsSync:
         """Returns the exchange of totals with an entry."""
-        if entry not in self.links:
-            self.links[entry] = TotalsSync(self.totals)
-        return self.links[entry]
+        if entry not in self.totals_syncs:
+            self.totals_syncs[entry] = TotalsSync(self.totals)
+        return self.totals_syncs[entry]
 
     def on_offer(self, message: OfferMessage) -> OfferReply:
         """Applies an entry's offer of queued requests."""
         entry = Incarnation(message.entry)
-        link = self.link(entry)
+        totals_sync = self._totals_sync(entry)
         if message.totals is not None:
             # A restarted agent needs the totals before it chooses among the
             # offers.
-            link.apply_delta(message.totals)
+            totals_sync.apply_delta(message.totals)
         self.addresses[entry] = message.address
         now = time.monotonic()
         self._update_usage()
@@ -191,14 +191,16 @@
         self.grant_free_slots()
         if self.free == 0:
             self.reported_busy_to.add(entry)
-        totals = link.make_delta() if message.totals is not None else None
+        totals = (
+            totals_sync.make_delta() if message.totals is not None else None
+        )
         return OfferReply(
             self.free, len(self.addresses), totals, self.is_leaving()
         )
 
     def remove_entry(self, entry: str) -> None:
         """Removes the state of an entry that left or timed out."""
-        self.links.pop(entry, None)
+        self.totals_syncs.pop(entry, None)
         self.addresses.pop(entry, None)
         self.reported_busy_to.discard(entry)
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -102,7 +102,7 @@
                 async for frame in self._read(response):
                     tries = 0
                     yield frame
-                    if frame.head.is_last:
+                    if frame.header.is_last:
                         return
             except _CONNECTION_ERRORS as error:
                 last_error = error
@@ -180,7 +180,7 @@
                     "the agent closed the connection before the last frame"
                 )
             for frame in parser.feed(data):
-                if frame.head.is_keepalive:
+                if frame.header.is_keepalive:
                     continue
                 if self.reader.accept(frame):
                     yield frame
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -77,7 +77,7 @@
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
-        self.link = TotalsSync(totals)
+        self.totals_sync = TotalsSync(totals)
         self.in_flight = 0
         self.sequence = 0
         self.offered: set[WorkspaceId] = set()
@@ -325,7 +325,7 @@
             row = random.choice(self.other_agents)
             view = AgentView(row, self.totals)
             # It receives the totals from the entries that use it.
-            view.link.peer = row.incarnation
+            view.totals_sync.peer = row.incarnation
             view.entries = _OUTSIDE_AGENT_ENTRIES
             self._send_offer(view, full=True)
 
@@ -357,7 +357,7 @@
 
     async def _send_once(self, view: AgentView) -> None:
         # The first offer to an agent carries the totals, which it lacks.
-        full = view.needs_full_offer or not view.link.peer
+        full = view.needs_full_offer or not view.totals_sync.peer
         view.needs_full_offer = False
         rows = self._rows(set() if full else view.offered)
         if not rows and not full:
@@ -399,16 +399,16 @@
         this entry holds are always sent; the agent replies with the rows
         that are newer.
         """
-        is_new = not view.link.peer
+        is_new = not view.totals_sync.peer
         if is_new or random.random() * view.entries < 1.0:
-            return view.link.make_delta()
-        return view.link.make_delta(limit=0)
+            return view.totals_sync.make_delta()
+        return view.totals_sync.make_delta(limit=0)
 
     def _on_reply(self, view: AgentView, reply: OfferReply) -> None:
         view.free = reply.free
         view.entries = reply.entries
         if reply.totals is not None:
-            view.link.apply_delta(reply.totals)
+            view.totals_sync.apply_delta(reply.totals)
         if reply.leaving:
             view.row = msgspec.structs.replace(view.row, state="leaving")
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -36,7 +36,7 @@
     Attributes:
         stall_seconds: How long a write to the caller may take.
         response: Set once the response has begun.
-        head: The head of the frame with status and headers.
+        response_header: Header of frame 0, with HTTP status and headers.
         buffer: Data that was received before the response began.
     """
 
@@ -44,7 +44,7 @@
         self.request = request
         self.stall_seconds = stall_seconds
         self.response: web.StreamResponse | None = None
-        self.head: FrameHeader | None = None
+        self.response_header: FrameHeader | None = None
         self.buffer = bytearray()
         self.first_byte_at: float | None = None
 
@@ -57,13 +57,13 @@
             CallerStalledError: The caller read no data for too long.
         """
         async for frame in frames:
-            if frame.head.failure is not None:
-                raise ResponseFailedError(frame.head.failure)
-            if frame.head.is_end:
+            if frame.header.failure is not None:
+                raise ResponseFailedError(frame.header.failure)
+            if frame.header.is_end:
                 return await self._finish()
-            if self.head is None:
-                self.head = frame.head
-                if is_stream(self.head.headers):
+            if self.response_header is None:
+                self.response_header = frame.header
+                if is_stream(self.response_header.headers):
                     await self._begin()
             else:
                 await self._add_data(frame.data)
@@ -76,8 +76,8 @@
         )
 
     async def _begin(self) -> None:
-        response = web.StreamResponse(status=self.head.status)
-        copy_headers(self.head.headers, response)
+        response = web.StreamResponse(status=self.response_header.status)
+        copy_headers(self.response_header.headers, response)
         self.request.delivered = True
         self.response = response
         await response.prepare(self.request.http)
@@ -104,9 +104,9 @@
             await self.response.write_eof()
             return self.response
         response = web.Response(
-            status=self.head.status, body=bytes(self.buffer)
+            status=self.response_header.status, body=bytes(self.buffer)
         )
-        copy_headers(self.head.headers, response)
+        copy_headers(self.response_header.headers, response)
         response.headers[OUTCOME_HEADER] = Outcome.COMPLETE.value
         self.request.delivered = True
         return response
@@ -117,7 +117,7 @@
         A stream gets an error event. The connection is closed without the
         last chunk, as the caller would take the body for complete otherwise.
         """
-        if is_stream(self.head.headers):
+        if is_stream(self.response_header.headers):
             body = msgspec.json.encode(FailureBody(reason))
             try:
                 await self._write(b"event: error\ndata: " + body + b"\n\n")
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -60,7 +60,7 @@
             app, self.membership, self.control, self.dispatchers
         )
         self.metrics = RequestMetrics(app)
-        self.membership.on_agents.append(self._on_agents)
+        self.membership.agents_listeners.append(self._on_agents)
 
     def _on_agents(self) -> None:
         self.dispatchers.set_agents(list(self.membership.agents.values()))
--- a/packages/fleet/src/marjoramyard/fleet/membership.py
+++ b/packages/fleet/src/marjoramyard/fleet/membership.py
@@ -46,9 +46,9 @@
         order: The newest order to the agent's endpoint, if any.
         newest_order: The endpoint's newest fencing number; -1 if unknown.
         reported_lease: Whether the lease was held when it was last logged.
-        on_bundle: Called after the bundle has changed.
-        on_agents: Called after `agents` has changed.
-        on_order: Called with the new order and its fencing number.
+        bundle_listeners: Called after the bundle has changed.
+        agents_listeners: Called after `agents` has changed.
+        order_listeners: Called with the new order and its fencing number.
     """
 
     def __init__(
@@ -56,12 +56,14 @@
         control: ControlClient,
         metrics: Metrics,
         row: Callable[[], DirectoryRow],
-        keeps_keys: bool = True,
+        keeps_api_keys: bool = True,
     ):
         self.control = control
         self.metrics = metrics
         self.row = row
-        self.bundle = BundleView(keeps_rows=False, keeps_keys=keeps_keys)
+        self.bundle = BundleView(
+            keeps_rows=False, keeps_api_keys=keeps_api_keys
+        )
         self.lease = BundleLease()
         self.agents: dict[str, DirectoryRow] = {}
         self.directory_epoch = ""
@@ -74,9 +76,9 @@
         self.newest_order = _NO_ORDER_KNOWN
         self.reported_lease = False
         self.announce_requested = asyncio.Event()
-        self.on_bundle: list[Callable[[], None]] = []
-        self.on_agents: list[Callable[[], None]] = []
-        self.on_order: list[Callable[[Order | None, int], None]] = []
+        self.bundle_listeners: list[Callable[[], None]] = []
+        self.agents_listeners: list[Callable[[], None]] = []
+        self.order_listeners: list[Callable[[Order | None, int], None]] = []
         metrics.gauge("bundle_version", lambda: [(self.bundle.version, {})])
         metrics.gauge("lease_held", lambda: [(float(self.holds_lease()), {})])
 
@@ -213,7 +215,7 @@
         if self.bundle.version != before:
             self.metrics.count("bundles_installed")
             logger.info("bundle_in_force", version=self.bundle.version)
-            for listener in self.on_bundle:
+            for listener in self.bundle_listeners:
                 listener()
         return True
 
@@ -238,7 +240,7 @@
                 changed = True
             self.unconfirmed_agents = None
         if changed:
-            for listener in self.on_agents:
+            for listener in self.agents_listeners:
                 listener()
 
     def _apply_suspects(self, reply: RenewReply) -> None:
@@ -254,7 +256,7 @@
         self.newest_order = reply.newest_order
         self.order = reply.order
         if is_newer:
-            for listener in self.on_order:
+            for listener in self.order_listeners:
                 listener(reply.order, reply.newest_order)
 
     def _report_lease_change(self) -> None:
--- a/packages/fleet/tests/entry/test_dispatchers.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -105,7 +105,7 @@
     dispatcher.totals.update_recovery({})
     dispatcher.totals.add("w", 5.0)
     assert dispatcher._totals_for(view).origins
-    view.link.peer = view.row.incarnation
+    view.totals_sync.peer = view.row.incarnation
     sent = [bool(dispatcher._totals_for(view).origins) for _ in range(2000)]
     assert 100 < sum(sent) < 300
 
