--- a/packages/coordination/src/marjoramyard/coordination/governance/directory.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/directory.py
@@ -15,7 +15,8 @@
         zone: The availability zone.
         address: The internal address.
         service: The service of the endpoint, for an agent.
-        state: ready, leaving, or gone.
+        state: ready, leaving, down (an agent whose endpoint is not ready),
+            or gone.
         slots: The number of requests that the endpoint runs concurrently.
         endpoint: The name of the endpoint.
         checks_fencing: Whether the endpoint rejects stale fencing numbers.
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -51,7 +51,7 @@
         ended: When each attempt ended; monotonic time, in seconds.
         delivered: Attempts whose last frame was sent, oldest first.
         tombstones: Cancelled attempt ids, oldest first.
-        session: The connections to the endpoint.
+        http_session: The HTTP client session for the endpoint.
     """
 
     def __init__(
@@ -67,12 +67,12 @@
         self.control = control
         self.endpoint = endpoint
         self.slot_allocator = slot_allocator
-        self.guard = SuspectGuard(app, membership, control)
+        self.suspect_guard = SuspectGuard(app, membership, control)
         self.attempts: dict[AttemptId, Attempt] = {}
         self.ended: dict[AttemptId, float] = {}
         self.delivered: OrderedDict[AttemptId, None] = OrderedDict()
         self.tombstones: OrderedDict[AttemptId, None] = OrderedDict()
-        self.session = aiohttp.ClientSession(
+        self.http_session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             auto_decompress=False,
             timeout=aiohttp.ClientTimeout(total=None),
@@ -124,7 +124,7 @@
         return await self._stream(request, attempt, 0)
 
     async def _prepare(self, run: RunRequest, body: bytes) -> Attempt:
-        """Registers an attempt after all checks.
+        """Registers an attempt once all checks have passed.
 
         Raises:
             FleetError: The attempt must not be sent to the endpoint.
@@ -133,15 +133,15 @@
         if service is None or run.service != self.endpoint.announced.service:
             raise_failure(
                 FailureKind.NO_ENDPOINT,
-                f"the endpoint here doesn't serve {run.service}",
+                f"the agent's endpoint does not serve {run.service}",
             )
         fingerprint = Fingerprint(run.fingerprint)
         seconds = self.membership.quarantine_seconds_left(fingerprint)
         if seconds is not None:
             raise FleetError(quarantined(seconds))
         held = False
-        if self.guard.is_suspect(fingerprint, run.suspect):
-            refusal = await self.guard.hold(fingerprint)
+        if self.suspect_guard.is_suspect(fingerprint, run.suspect):
+            refusal = await self.suspect_guard.hold(fingerprint)
             if refusal is not None:
                 raise FleetError(refusal)
             held = True
@@ -149,7 +149,7 @@
             await self._start_call(run)
         except BaseException:
             if held:
-                self.guard.release(fingerprint, clear=False)
+                self.suspect_guard.release(fingerprint, clear=False)
             raise
         attempt = Attempt(
             run,
@@ -177,7 +177,7 @@
     async def _execute(self, attempt: Attempt) -> None:
         run = attempt.run_request
         try:
-            reason = await attempt.execute(self.session)
+            reason = await attempt.execute(self.http_session)
             if reason is not None and reason.kind is FailureKind.ENDPOINT_LOST:
                 await self._check_endpoint()
             elif reason is None and run.call is not None:
@@ -205,10 +205,13 @@
             self.endpoint.prefixes.record_run(run.prefix)
         if attempt.held_suspect:
             fingerprint = Fingerprint(run.fingerprint)
-            self.guard.release(fingerprint, clear=reason is None)
+            self.suspect_guard.release(fingerprint, clear=reason is None)
 
     async def _check_endpoint(self) -> None:
-        """Checks whether the endpoint died; reports the running requests."""
+        """Checks whether the endpoint died, and if so reports it.
+
+        The report lists the requests that were running.
+        """
         running = [
             Fingerprint(a.run_request.fingerprint)
             for a in self.attempts.values()
@@ -217,13 +220,13 @@
         announced = self.endpoint.announced
         if announced.incarnation == self.endpoint.dead_incarnation:
             return
-        if await self.endpoint.is_alive(self.session):
+        if await self.endpoint.is_alive(self.http_session):
             return
         if announced.incarnation != self.endpoint.announced.incarnation:
             return
         death_id = self.endpoint.mark_dead()
         self.membership.announce_now()
-        self.app.tasks.spawn(self.guard.report(death_id, running))
+        self.app.tasks.spawn(self.suspect_guard.report(death_id, running))
 
     # Resume and cancel.
 
@@ -265,7 +268,9 @@
         first = int(request.query.get("from", "0"))
         if attempt is None:
             raise_failure(
-                FailureKind.NOT_FOUND, "no such attempt here", Outcome.UNKNOWN
+                FailureKind.NOT_FOUND,
+                "the agent does not have this attempt",
+                Outcome.UNKNOWN,
             )
         if first < attempt.replay_buffer.first_kept:
             raise_failure(
@@ -286,8 +291,8 @@
     async def on_cancel(self, request: web.Request) -> web.Response:
         """Cancels an attempt; one that arrives later is refused.
 
-        The tombstone guarantees the outcome "not run" for an attempt that
-        is delayed on its way or in this process.
+        The tombstone guarantees the outcome "not run" for an attempt whose
+        run request is delayed in the network or in this process.
         """
         attempt_id = AttemptId(request.match_info["attempt"])
         self.tombstones[attempt_id] = None
@@ -303,7 +308,7 @@
     # Maintenance.
 
     async def sweep(self) -> None:
-        """Cancels orphans and removes ended attempts, until cancelled."""
+        """Cancels orphaned attempts and removes ended ones, until cancelled."""
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_SECONDS)
             now = time.monotonic()
@@ -317,8 +322,8 @@
     def _cancel_orphan(self, attempt: Attempt) -> None:
         """Cancels an attempt that no entry reads, which frees its slot.
 
-        A call that must not repeat goes on, so that its response is stored
-        in the ledger for a resend.
+        A call that must not repeat continues, so that its response is
+        stored in the ledger for a resend.
         """
         if attempt.run_request.call is None and not attempt.cancelled:
             self.app.metrics.count("orphans_cancelled")
@@ -326,7 +331,7 @@
 
     async def close(self) -> None:
         """Closes the connections to the endpoint."""
-        await self.session.close()
+        await self.http_session.close()
 
 
 def _interrupted() -> Failure:
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -18,10 +18,10 @@
 from marjoramyard.kernel.ids import WorkspaceId
 
 ORPHAN_TIMEOUT_SECONDS = 5.0
-"""How long an attempt continues without a connection from its entry."""
+"""How long an attempt may run without a connection from its entry."""
 STREAM_END = b"[DONE]"
 MAX_ENGINE_RESUMES = 3
-"""Resumes in a row without an event in between."""
+"""Consecutive resumes without an event in between."""
 HTTP_OK = 200
 _CONNECT_TIMEOUT_SECONDS = 2.0
 _STREAM_TAIL_BYTES = 64
@@ -59,8 +59,8 @@
         stream_tail: The last bytes of the response.
         resume_path: Where the engine's stream can be resumed, or "".
         resumes: How often the engine's stream was resumed.
-        held_suspect: The request is a suspect, and the agent has a hold
-            for it.
+        held_suspect: The request is a suspect, and the agent has been
+            granted a hold for it.
         is_delivered: The last frame was written to an entry.
     """
 
@@ -103,7 +103,7 @@
         """The workspace of the request."""
         return WorkspaceId(self.run_request.workspace)
 
-    # Towards the endpoint.
+    # Exchange with the endpoint.
 
     async def execute(self, session: aiohttp.ClientSession) -> Failure | None:
         """Sends the request and reads the response.
@@ -280,7 +280,7 @@
     def _check_complete(self) -> Failure | None:
         """Returns a failure if a stream has ended without its last event.
 
-        An engine that aborts a response may still end its body regularly.
+        An engine that aborts a response may still end its HTTP body normally.
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
@@ -296,7 +296,7 @@
         if self.task is not None:
             self.task.cancel()
 
-    # Towards the entry.
+    # Delivery to the entry.
 
     def finish(self, reason: Failure | None) -> None:
         """Adds the last frame: the end, or the failure if there is one."""
@@ -317,7 +317,7 @@
         """Writes frames from number `first` on until the last one.
 
         One connection reads at a time. A resume replaces the previous one,
-        which may still seem open here.
+        which may still appear to be open.
 
         Args:
             first: The number of the first frame.
@@ -352,7 +352,7 @@
                 self.orphaned_at = time.monotonic()
 
     def is_orphan(self, now: float) -> bool:
-        """Returns whether its entry did not reconnect within the timeout."""
+        """Returns whether the entry has not reconnected within the timeout."""
         if self.reader is not None:
             return False
         return now - self.orphaned_at > ORPHAN_TIMEOUT_SECONDS
--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -1,4 +1,4 @@
-"""The agent's ledger entries for calls that must not repeat."""
+"""Ledger commands of the agent for calls that must not repeat."""
 
 import base64
 import hashlib
@@ -26,12 +26,12 @@
 async def start_call(control: ControlClient, run: RunRequest) -> Failure | None:
     """Commits the call as `started` before it is sent.
 
-    From then on the call is not sent again. If the control hosts don't
-    reply, the command may have been committed, so the call is not sent
-    either, and the ledger decides its outcome.
+    Once this is committed no other attempt of the call is sent. If the
+    control hosts do not reply, the command may have been committed, so the
+    call is not sent either, and the ledger determines its outcome.
 
     Returns:
-        None if the call may be sent, else the reason why not.
+        None if the call may be sent, else the refusal.
     """
     ticket = run.call
     command = StartCall(
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -13,7 +13,7 @@
 logger = get_logger(__name__)
 
 ANNOUNCEMENT_TIMEOUT_SECONDS = 6.0
-"""An endpoint without an announcement for this time gets no new work."""
+"""Time without an announcement after which an endpoint is not ready."""
 _PROBE_TIMEOUT_SECONDS = 1.0
 
 
@@ -38,14 +38,14 @@
         self.prefixes = PrefixHistory()
 
     def on_announcement(self, announcement: EndpointAnnouncement) -> bool:
-        """Applies an announcement.
+        """Applies an announcement of the endpoint to its agent.
 
         Returns:
             Whether the endpoint restarted or its state changed.
         """
-        before = self.announced
+        previous = self.announced
         is_restart = (
-            before is None or before.incarnation != announcement.incarnation
+            previous is None or previous.incarnation != announcement.incarnation
         )
         if is_restart:
             self.prefixes = PrefixHistory()
@@ -62,14 +62,14 @@
             self.prefixes.on_evictions(
                 announcement.event_number, announcement.evicted
             )
-        return is_restart or before.state != announcement.state
+        return is_restart or previous.state != announcement.state
 
     def _capped(self, slots: int) -> int:
         return min(slots, self.max_slots) if self.max_slots else slots
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint may get new work."""
+        """Whether the endpoint may get new requests."""
         announced = self.announced
         if announced is None or announced.state != "ready":
             return False
@@ -89,8 +89,8 @@
     async def is_alive(self, session: aiohttp.ClientSession) -> bool:
         """Probes the endpoint; returns whether it accepts a connection.
 
-        One lost connection doesn't imply that the endpoint died. A slow
-        response counts as alive.
+        One lost connection does not imply that the endpoint died. An
+        endpoint that does not respond in time counts as alive.
         """
         try:
             async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
--- a/packages/fleet/src/marjoramyard/fleet/agent/meters.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/meters.py
@@ -11,7 +11,7 @@
 """Estimates the prompt's tokens until the engine reports its own count."""
 MILLISECONDS_PER_SECOND = 1000.0
 _TAIL_BYTES = 2048
-"""Length of the response's end in which the usage report is searched."""
+"""Length of the end of the response that is searched for the usage report."""
 _USAGE = re.compile(rb'"usage"\s*:\s*(\{[^{}]*\})')
 
 
@@ -35,7 +35,7 @@
         self.charged = 0.0
 
     def begin(self, body: bytes) -> None:
-        """Starts the count as the request is sent."""
+        """Starts the count when the request is sent."""
 
     def observe(self, chunk: bytes) -> int:
         """Counts a chunk of the response; returns its number of tokens."""
@@ -65,7 +65,7 @@
 
     def __init__(self):
         super().__init__()
-        self.tail = b""
+        self.response_tail = b""
 
     def begin(self, body: bytes) -> None:
         """Counts the prompt, estimated by its size."""
@@ -75,12 +75,12 @@
         """Counts each event as one token."""
         tokens = chunk.count(b"data:")
         self.total += tokens
-        self.tail = (self.tail + chunk)[-_TAIL_BYTES:]
+        self.response_tail = (self.response_tail + chunk)[-_TAIL_BYTES:]
         return tokens
 
     def end(self) -> None:
         """Replaces the count by the engine's own, if it reported one."""
-        reports = _USAGE.findall(self.tail)
+        reports = _USAGE.findall(self.response_tail)
         if not reports:
             return
         try:
@@ -96,17 +96,19 @@
 
     def __init__(self):
         super().__init__()
-        self.started = 0.0
+        self.started_at = 0.0
 
     def begin(self, body: bytes) -> None:
         """Records the start."""
-        self.started = time.monotonic()
+        self.started_at = time.monotonic()
 
     def observe(self, chunk: bytes) -> int:
-        """Updates the count."""
+        """Sets the total to the time since the start."""
         self.end()
         return 0
 
     def end(self) -> None:
-        """Updates the count."""
-        self.total = (time.monotonic() - self.started) * MILLISECONDS_PER_SECOND
+        """Sets the total to the time since the start."""
+        self.total = (
+            time.monotonic() - self.started_at
+        ) * MILLISECONDS_PER_SECOND
--- a/packages/fleet/src/marjoramyard/fleet/agent/orders.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/orders.py
@@ -1,4 +1,4 @@
-"""Forwards engine orders, never an older one after a newer one."""
+"""Forwards operators' orders to the endpoint and rejects stale ones."""
 
 import asyncio
 
@@ -19,9 +19,12 @@
 class OrderForwarder:
     """Forwards the newest order to the endpoint.
 
+    An order is an operator's command with a fencing number, which increases
+    with each order.
+
     Attributes:
-        guard: Refuses orders older than the newest known one.
-        wanted: The order to forward.
+        guard: Rejects orders older than the newest known one.
+        newest_order: The order to forward, if any.
         wake: Set when there may be an order to forward.
         forwarded: Incarnation and order number of the last forwarded order.
     """
@@ -30,7 +33,7 @@
         self.app = app
         self.endpoint = endpoint
         self.guard = FencingGuard()
-        self.wanted: Order | None = None
+        self.newest_order: Order | None = None
         self.wake = asyncio.Event()
         self.forwarded: tuple[str, int] = ("", 0)
 
@@ -42,7 +45,7 @@
             newest: The endpoint's newest fencing number.
         """
         self.guard.observe(newest)
-        self.wanted = order
+        self.newest_order = order
         self.wake.set()
 
     async def run(self, session: aiohttp.ClientSession) -> None:
@@ -54,8 +57,8 @@
                 await asyncio.sleep(_RETRY_DELAY_SECONDS)
 
     async def _forward(self, session: aiohttp.ClientSession) -> bool:
-        """Returns False if the order has to be sent again."""
-        order, announced = self.wanted, self.endpoint.announced
+        """Forwards the order; returns False if it must be sent again."""
+        order, announced = self.newest_order, self.endpoint.announced
         if order is None:
             return True
         if announced is None or announced.name != order.endpoint:
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -25,7 +25,11 @@
 
 
 class AgentRole:
-    """One agent; all requests to its endpoint pass through it."""
+    """The agent of one endpoint.
+
+    Entries send their requests to the endpoint through its agent; gateways
+    send theirs to the endpoint directly.
+    """
 
     def __init__(self, app: Application):
         self.app = app
@@ -49,7 +53,10 @@
         self.membership.order_listeners.append(self.order_forwarder.on_order)
 
     def row(self) -> DirectoryRow:
-        """Returns this agent's directory row."""
+        """Returns the row that the agent announces to the control hosts.
+
+        Its state is "down" while the endpoint is not ready.
+        """
         settings, announced = self.app.settings, self.endpoint.announced
         state = "ready" if self.endpoint.is_ready else "down"
         if self.leaving or (
@@ -74,13 +81,13 @@
             self.membership.run(),
             self.slot_allocator.maintain(),
             self.attempt_service.sweep(),
-            self.order_forwarder.run(self.attempt_service.session),
+            self.order_forwarder.run(self.attempt_service.http_session),
             self._watch_endpoint(),
         ):
             self.app.tasks.spawn(coroutine)
 
     async def _watch_endpoint(self) -> None:
-        """Updates the directory when the endpoint's readiness changes."""
+        """Announces the row when the endpoint's readiness changes."""
         was_ready = False
         while True:
             await asyncio.sleep(_WATCH_INTERVAL_SECONDS)
@@ -94,7 +101,12 @@
         return [web.post("/announce", self.on_announce)]
 
     async def on_announce(self, request: web.Request) -> web.Response:
-        """Handles the endpoint's announcement."""
+        """Applies an announcement of the endpoint to its agent.
+
+        If the endpoint restarted or changed its state, the order forwarder
+        is woken and the agent's row is announced to the control hosts.
+        Slots are granted as the limit may have grown.
+        """
         announcement = await read_message(request, EndpointAnnouncement)
         if self.endpoint.on_announcement(announcement):
             self.order_forwarder.wake.set()
@@ -103,14 +115,14 @@
         return json_response(Empty())
 
     def is_ready(self) -> bool:
-        """Returns whether new work may start here."""
+        """Returns whether the agent accepts attempts."""
         return self.slot_allocator.accepts_work()
 
     async def drain(self) -> None:
-        """Refuses new work and waits until no attempt runs or is read.
+        """Refuses new attempts and waits until the last one is delivered.
 
-        An ended attempt whose frames an entry is still reading counts too,
-        as an exit would truncate its response.
+        All attempts have then ended, and no entry is reading their frames;
+        an earlier exit would truncate a response.
         """
         self.leaving = True
         self.membership.announce_now()
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -101,8 +101,8 @@
         self._register_gauges()
 
     def _share_of(self, workspace: WorkspaceId) -> float:
-        known = self.membership.bundle.workspaces.get(workspace)
-        return known.share if known is not None else 1.0
+        row = self.membership.bundle.workspaces.get(workspace)
+        return row.share if row is not None else 1.0
 
     def _on_bundle(self) -> None:
         policy = self.membership.bundle.policy
@@ -115,10 +115,10 @@
         metrics.gauge(
             "fairness_gap", lambda: [(self.scheduler.virtual_time_gap(), {})]
         )
-        metrics.gauge("slots", self._slot_numbers)
+        metrics.gauge("slots", self._slot_samples)
         metrics.gauge("utilisation", lambda: [(self.utilisation(), {})])
 
-    def _slot_numbers(self) -> list[tuple[float, dict[str, str]]]:
+    def _slot_samples(self) -> list[tuple[float, dict[str, str]]]:
         return [
             (self.running, {"state": "running"}),
             (len(self.grants), {"state": "granted"}),
@@ -147,13 +147,13 @@
             self.idle_while_waiting += elapsed * min(idle, waiting)
 
     def utilisation(self) -> float:
-        """Returns the busy part, from 0 to 1, of the time with demand."""
+        """Returns the busy fraction of the slot time with demand, 0 to 1."""
         self._update_usage()
-        possible = self.busy_seconds + self.idle_while_waiting
-        return self.busy_seconds / possible if possible else 1.0
+        demand = self.busy_seconds + self.idle_while_waiting
+        return self.busy_seconds / demand if demand else 1.0
 
     def accepts_work(self) -> bool:
-        """Returns whether new work may start here."""
+        """Returns whether new attempts may start at the endpoint."""
         return (
             self.endpoint.is_ready
             and not self.is_leaving()
@@ -163,7 +163,7 @@
     # Messages from entries.
 
     def _totals_sync(self, entry: str) -> TotalsSync:
-        """Returns the exchange of totals with an entry."""
+        """Returns the exchange with an entry; creates it if needed."""
         if entry not in self.totals_syncs:
             self.totals_syncs[entry] = TotalsSync(self.totals)
         return self.totals_syncs[entry]
@@ -287,8 +287,8 @@
                 time.monotonic() + _GRANT_USE_TIMEOUT_SECONDS
             )
         if reply.left and choice.entry in self.scheduler.entries:
-            # The reply is newer than the offer, so the next slot needn't
-            # wait for a refresh.
+            # The reply is newer than the offer, so the next slot can be
+            # granted without waiting for a refresh.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
             self.scheduler.update_offers(choice.entry, [row])
             self.grant_free_slots()
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -21,10 +21,10 @@
 
 
 class SuspectGuard:
-    """Limits suspects to one at a time per agent, and each to one agent.
+    """Limits an agent to one suspect at a time, and a suspect to one agent.
 
     Attributes:
-        held: The suspect that may run here, if any.
+        held: The suspect that may run at this endpoint, if any.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         return marked or fingerprint in self.membership.suspects
 
     async def hold(self, fingerprint: Fingerprint) -> Failure | None:
-        """Requests a hold, which permits a suspect to run here.
+        """Requests a hold, which permits a suspect to run at this endpoint.
 
         If two suspects ran on one endpoint, its death could not be
         attributed to one of them.
@@ -57,14 +57,14 @@
             None if the hold is granted, else the refusal.
         """
         if self.held is not None:
-            return _held_apart()
+            return _suspect_held()
         self.held = fingerprint
         command = HoldSuspect(fingerprint, self.app.incarnation)
         reply = await self.control.command(command, _HOLD_TIMEOUT_SECONDS)
         if isinstance(reply, Err) or not reply.ok_value.granted:
             self.held = None
             seconds = self.membership.quarantine_seconds_left(fingerprint)
-            return quarantined(seconds) if seconds else _held_apart()
+            return quarantined(seconds) if seconds else _suspect_held()
         return None
 
     def release(self, fingerprint: Fingerprint, clear: bool) -> None:
@@ -84,7 +84,7 @@
     async def report(
         self, death_id: str, fingerprints: list[Fingerprint]
     ) -> None:
-        """Reports to the control hosts the requests at an endpoint's death.
+        """Reports an endpoint's death and its requests to the control hosts.
 
         Args:
             death_id: Identifies the death, so that it counts once.
@@ -96,7 +96,7 @@
         self.app.metrics.count("endpoint_deaths_reported")
 
 
-def _held_apart() -> Failure:
+def _suspect_held() -> Failure:
     return failure(
         FailureKind.SUSPECT_HELD,
         "this request was running when an endpoint died; it is run again "
