--- a/packages/fleet/src/marjoramyard/fleet/agent/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/calls.py
@@ -1,4 +1,4 @@
-"""The agent's ledger entries for calls that must not repeat."""
+"""Ledger commands of the agent for calls that must not repeat."""
 
 import base64
 import hashlib
@@ -16,7 +16,7 @@
 from marjoramyard.fleet.agent.attempts import Attempt
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.util.control_client import ControlClient
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 
 MAX_STORED_BYTES = 64 << 10
 _START_TIMEOUT_SECONDS = 4.0
@@ -26,12 +26,12 @@
 async def start_call(control: ControlClient, run: RunRequest) -> Failure | None:
     """Commits the call as `started` before it is sent.
 
-    From then on the call is not sent again. If the control hosts don't
-    reply, the command may have been committed, so the call is not sent
-    either, and the ledger decides its outcome.
+    Once this is committed no other attempt of the call is sent. If the
+    control hosts do not reply, the command may have been committed, so the
+    call is not sent either, and the ledger determines its outcome.
 
     Returns:
-        None if the call may be sent, else the reason why not.
+        None if the call may be sent, else the refusal.
     """
     ticket = run.call
     command = StartCall(
@@ -44,7 +44,9 @@
     if view.refusal is not None:
         return view.refusal
     if view.state is not CallState.STARTED or view.attempt != run.attempt:
-        return failure(Kind.CANCELLED, "another attempt has started this call")
+        return failure(
+            FailureKind.CANCELLED, "another attempt has started this call"
+        )
     return None
 
 
--- a/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -18,17 +18,17 @@
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.kernel.errors import (
     Failure,
-    Kind,
+    FailureKind,
     Outcome,
     failure,
 )
 from marjoramyard.kernel.metrics import Metrics
 
 READ_TIMEOUT_SECONDS = 4.0
-"""Longer than the agent's keepalive interval."""
+"""Must exceed the agent's keepalive interval."""
 ADMIT_TIMEOUT_SECONDS = 4.0
 SLOW_ADMIT_TIMEOUT_SECONDS = 9.0
-"""For calls and suspects, which are admitted by the control hosts too."""
+"""For calls and suspects, which also need a reply of the control hosts."""
 MAX_RESUME_ATTEMPTS = 3
 _RESUME_TIMEOUT_SECONDS = 1.5
 _RESUME_DELAY_SECONDS = 0.3
@@ -102,7 +102,7 @@
                 async for frame in self._read(response):
                     tries = 0
                     yield frame
-                    if frame.head.is_last:
+                    if frame.header.is_last:
                         return
             except _CONNECTION_ERRORS as error:
                 last_error = error
@@ -135,7 +135,9 @@
         except aiohttp.ClientConnectorError:
             self.may_have_arrived = False
             raise AttemptRefusedError(
-                failure(Kind.NO_ENDPOINT, "connection to the agent failed")
+                failure(
+                    FailureKind.NO_ENDPOINT, "connection to the agent failed"
+                )
             ) from None
         except _CONNECTION_ERRORS as error:
             raise AttemptLostError(_lost(repr(error))) from error
@@ -178,7 +180,7 @@
                     "the agent closed the connection before the last frame"
                 )
             for frame in parser.feed(data):
-                if frame.head.is_keepalive:
+                if frame.header.is_keepalive:
                     continue
                 if self.reader.accept(frame):
                     yield frame
@@ -201,12 +203,14 @@
     try:
         return msgspec.json.decode(data, type=FailureBody).error
     except msgspec.DecodeError:
-        return failure(Kind.INTERNAL, "the agent's refusal can't be decoded")
+        return failure(
+            FailureKind.INTERNAL, "the agent's refusal can't be decoded"
+        )
 
 
 def _lost(detail: str) -> Failure:
     return failure(
-        Kind.ENDPOINT_LOST,
+        FailureKind.ENDPOINT_LOST,
         f"connection to the agent lost while the request ran ({detail})",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -18,8 +18,8 @@
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.headers import copy_headers
 from marjoramyard.kernel.errors import (
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
     raise_failure,
@@ -33,7 +33,7 @@
 
 
 class CallLedgerClient:
-    """Looks up calls before they are placed and cancels failed attempts."""
+    """Looks up calls before they are sent and cancels failed attempts."""
 
     def __init__(self, control: ControlClient):
         self.control = control
@@ -41,8 +41,7 @@
     async def look_up(self, request: CallerRequest) -> web.Response | None:
         """Returns the stored response of a resent call.
 
-        Returns None, and sets the ticket's epoch, if the call is to be
-        placed.
+        Returns None, and sets the ticket's epoch, if the call may be sent.
 
         Raises:
             FleetError: The call is running, or its outcome is unknown. The
@@ -95,7 +94,7 @@
 
 def _raise_in_progress() -> None:
     raise_failure(
-        Kind.CALL_IN_PROGRESS,
+        FailureKind.CALL_IN_PROGRESS,
         "this call was started before and has no stored response yet; it is "
         "not started again. Retry with the same Idempotency-Key later; if "
         "this persists, check the service itself",
@@ -108,7 +107,7 @@
     if stored is None or stored.body is None:
         raise FleetError(
             failure(
-                Kind.CALL_OUTCOME_UNKNOWN,
+                FailureKind.CALL_OUTCOME_UNKNOWN,
                 "this call was completed, but its response was too large to "
                 "be stored; check the service itself",
                 Outcome.COMPLETE,
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -1,4 +1,4 @@
-"""Queues the requests of each service and hands them to its agents."""
+"""Queues the requests of each service and offers them to its agents."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
     OfferReply,
 )
 from marjoramyard.fleet.paths import OFFER_PATH
-from marjoramyard.kernel.errors import FleetError, Kind, failure
+from marjoramyard.kernel.errors import FailureKind, FleetError, failure
 from marjoramyard.kernel.ids import ServiceId, WorkspaceId
 from marjoramyard.kernel.logs import get_logger
 
@@ -63,9 +63,9 @@
     """The state that a dispatcher keeps for one agent.
 
     Attributes:
-        in_flight: Attempts that this entry has running at the agent.
+        in_flight: Number of attempts of this entry at the agent.
         sequence: Number of the last offer that was sent.
-        offered: Workspaces of whose backlog the agent was notified.
+        offered: Workspaces whose backlog has been offered to the agent.
         free: Free slots, as last reported.
         entries: Number of entries that send offers to the agent.
         sending: An offer is being sent.
@@ -77,7 +77,7 @@
 
     def __init__(self, row: DirectoryRow, totals: Totals):
         self.row = row
-        self.link = TotalsSync(totals)
+        self.totals_sync = TotalsSync(totals)
         self.in_flight = 0
         self.sequence = 0
         self.offered: set[WorkspaceId] = set()
@@ -144,7 +144,7 @@
         ]
 
     def back_off(self, address: str) -> None:
-        """Sends an agent nothing for a while after it failed to respond."""
+        """Excludes an agent from `ready_agents` for the backoff time."""
         for view in self.agents.values():
             if view.row.address == address:
                 view.backoff_until = time.monotonic() + _AGENT_BACKOFF_SECONDS
@@ -163,8 +163,8 @@
         picked.sort(key=lambda view: view.in_flight / view.row.slots)
         return [Placement(view.row.address) for view in picked]
 
-    def count_run(self, address: str, change: int) -> None:
-        """Adds `change` to the count of attempts running at an agent."""
+    def adjust_in_flight(self, address: str, change: int) -> None:
+        """Adds `change` to the number of attempts in flight at an agent."""
         for view in self.agents.values():
             if view.row.address == address:
                 view.in_flight += change
@@ -199,7 +199,7 @@
         except TimeoutError:
             raise FleetError(
                 failure(
-                    Kind.DEADLINE,
+                    FailureKind.DEADLINE,
                     "the deadline passed while the request was queued; it "
                     "was not run",
                     retry_after=self.retry_after(),
@@ -218,7 +218,7 @@
         if queue.count >= limits.max_waiting or size > limits.max_waiting_bytes:
             raise FleetError(
                 failure(
-                    Kind.WORKSPACE_FULL,
+                    FailureKind.WORKSPACE_FULL,
                     "too many requests of this workspace are queued; retry "
                     "later or send fewer at once",
                     retry_after=self.retry_after(),
@@ -228,8 +228,8 @@
     def retry_after(self) -> float:
         """Returns the estimated wait of a new request, with jitter.
 
-        It is in seconds, based on the queue's length and the recent rate of
-        grants.
+        It is in seconds, based on the length of the queue and the recent
+        rate of grants.
         """
         waiting = self.queue.count()
         seconds = waiting / self.dequeue_rate if self.dequeue_rate > 0 else 2.0
@@ -258,7 +258,10 @@
         return GrantReply(True, queue.count, head.prefix)
 
     def _clear_offered_if_empty(self, workspace: WorkspaceId) -> None:
-        """Lets the workspace's next backlog be offered once this one ended."""
+        """Forgets the offers of a workspace whose queue is empty.
+
+        Its next backlog is then offered again.
+        """
         if workspace not in self.queue.workspaces:
             for view in self.agents.values():
                 view.offered.discard(workspace)
@@ -289,8 +292,8 @@
         """Offers new backlogs to the free agents and to a few busy ones.
 
         The number of busy agents is limited to bound the control traffic.
-        The others receive the backlog with the next refresh. That a backlog
-        ended is learned from a refresh or from a grant that is not used.
+        The others receive the backlog with the next refresh. The end of a
+        backlog is reported by a refresh or in the reply to a grant.
         """
         self.flush_scheduled = False
         self.queue.changed.clear()
@@ -303,10 +306,10 @@
                 self._send_offer(view)
 
     def refresh(self, older_than: float) -> None:
-        """Sends the complete backlog to agents whose last one is too old.
+        """Repeats the complete offer to agents whose last one is too old.
 
         Args:
-            older_than: Age in seconds at which a full offer is repeated.
+            older_than: Age in seconds at which a complete offer is repeated.
         """
         now = time.monotonic()
         for view in self.ready_agents():
@@ -325,7 +328,7 @@
             row = random.choice(self.other_agents)
             view = AgentView(row, self.totals)
             # It receives the totals from the entries that use it.
-            view.link.peer = row.incarnation
+            view.totals_sync.peer = row.incarnation
             view.entries = _OUTSIDE_AGENT_ENTRIES
             self._send_offer(view, full=True)
 
@@ -336,11 +339,11 @@
             view.sending = True
             self.app.tasks.spawn(self._send(view))
 
-    def _rows(self, known: set[WorkspaceId]) -> list[OfferRow]:
+    def _rows(self, excluded: set[WorkspaceId]) -> list[OfferRow]:
         now = time.monotonic()
         rows = []
         for workspace, queue in self.queue.workspaces.items():
-            if workspace in known:
+            if workspace in excluded:
                 continue
             head = queue.head(now)
             prefix = head.prefix if head is not None else ""
@@ -357,7 +360,7 @@
 
     async def _send_once(self, view: AgentView) -> None:
         # The first offer to an agent carries the totals, which it lacks.
-        full = view.needs_full_offer or not view.link.peer
+        full = view.needs_full_offer or not view.totals_sync.peer
         view.needs_full_offer = False
         rows = self._rows(set() if full else view.offered)
         if not rows and not full:
@@ -399,16 +402,16 @@
         this entry holds are always sent; the agent replies with the rows
         that are newer.
         """
-        is_new = not view.link.peer
+        is_new = not view.totals_sync.peer
         if is_new or random.random() * view.entries < 1.0:
-            return view.link.make_delta()
-        return view.link.make_delta(limit=0)
+            return view.totals_sync.make_delta()
+        return view.totals_sync.make_delta(limit=0)
 
     def _on_reply(self, view: AgentView, reply: OfferReply) -> None:
         view.free = reply.free
         view.entries = reply.entries
         if reply.totals is not None:
-            view.link.apply_delta(reply.totals)
+            view.totals_sync.apply_delta(reply.totals)
         if reply.leaving:
             view.row = msgspec.structs.replace(view.row, state="leaving")
 
