--- a/bench/leaving.py
+++ b/bench/drain_latency.py
@@ -1,8 +1,8 @@
 """How long a leaving endpoint still gets new work: the worst of many.
 
-`.venv/bin/python bench/leaving.py` lets endpoints leave one after the other
-under load and writes bench/out/leaving.json. An endpoint's call counts as
-new work if it reached it after the word that it leaves was sent.
+`.venv/bin/python bench/drain_latency.py` lets endpoints leave one after the
+other under load and writes bench/out/drain_latency.json. An endpoint's call
+counts as new work if it reached it after the word that it leaves was sent.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
         await asyncio.gather(
             *(fleet.add_endpoint(n, "plain", "shop", *options) for n in names)
         )
-        await fleet.until_serving(*names)
+        await fleet.wait_until_serving(*names)
         stop = asyncio.Event()
         failed = 0
 
@@ -65,7 +65,7 @@
 def main() -> None:
     """Prints the figures."""
     out = asyncio.run(run())
-    save("leaving", out)
+    save("drain_latency", out)
     for name, value in out.items():
         print(f"{name:<42} {value}")
 
--- a/bench/fleet_load.py
+++ b/bench/fleet_load.py
@@ -38,7 +38,7 @@
 async def control_bytes(fleet) -> dict[str, float]:
     """Returns each router's control bytes so far."""
     found = {}
-    for name, address in fleet.internals.items():
+    for name, address in fleet.internal_addresses.items():
         page = await fleet.metrics_page(address)
         found[name] = metric(page, "control_bytes")
     return found
@@ -48,7 +48,9 @@
     """Returns busy and idle-while-waiting slot seconds of all agents."""
     busy = idle = 0.0
     for name in engines:
-        page = await fleet.metrics_page(fleet.internals[f"agent-{name}"])
+        page = await fleet.metrics_page(
+            fleet.internal_addresses[f"agent-{name}"]
+        )
         busy += metric(page, "slots", 'state="busy_seconds"')
         idle += metric(page, "slots", 'state="idle_while_waiting"')
     return busy, idle
@@ -78,7 +80,7 @@
                 for n in engines
             )
         )
-        await fleet.until_serving(*engines)
+        await fleet.wait_until_serving(*engines)
         plan = LoadPlan(
             service, names, counter, flooder if flood else "", seconds=SECONDS
         )
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -81,7 +81,7 @@
         await start_small_fleet(fleet, yaml.safe_load(text), entries=1)
         options = ["--call-seconds", "0", "--slots", "64"]
         await fleet.add_endpoint("shop-1", "plain", "shop", *options)
-        await fleet.until_serving("shop-1")
+        await fleet.wait_until_serving("shop-1")
         path = "/stock/boots"
         direct = f"http://{fleet.endpoint_addresses['shop-1']}{path}"
         through = fleet.url("entry-1", f"/services/shop{path}")
--- a/bench/prefixes.py
+++ b/bench/prefix_slack.py
@@ -1,8 +1,8 @@
 """What the prefix knob buys and costs, on the decision alone.
 
-`.venv/bin/python bench/prefixes.py` runs both deployments with several slacks
-before engines with a limited prompt cache, prints hits, service and gap, and
-writes bench/out/prefixes.json.
+`.venv/bin/python bench/prefix_slack.py` runs both deployments with several
+slacks before engines with a limited prompt cache, prints hits, service and
+gap, and writes bench/out/prefix_slack.json.
 """
 
 import dataclasses
@@ -52,7 +52,7 @@
                 f"{row['counter_p95']:.2f} s",
                 flush=True,
             )
-    save("prefixes", out)
+    save("prefix_slack", out)
 
 
 if __name__ == "__main__":
--- a/bench/in_force.py
+++ b/bench/rollout_latency.py
@@ -1,7 +1,8 @@
 """How fast a rolled bundle is in force, with control hosts killed.
 
-`.venv/bin/python bench/in_force.py` rolls 200 changes while it kills and
-restarts control hosts, prints the figures and writes bench/out/in_force.json.
+`.venv/bin/python bench/rollout_latency.py` rolls 200 changes while it kills and
+restarts control hosts, prints the figures and writes
+bench/out/rollout_latency.json.
 """
 
 import asyncio
@@ -38,7 +39,7 @@
     await operator.put({"workspaces/probe": workspace_row(10**6, number + 1)})
     passed = time.monotonic() - started
     await fleet.restart(name)
-    await fleet.until_healthy(fleet.control_hosts[name])
+    await fleet.wait_until_healthy(fleet.control_hosts[name])
     return passed
 
 
@@ -91,7 +92,7 @@
 def main() -> None:
     """Prints the figures."""
     out = asyncio.run(run())
-    save("in_force", out)
+    save("rollout_latency", out)
     for name, value in out.items():
         print(f"{name:<30} {value}")
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -385,7 +385,7 @@
         await start_small_fleet(fleet, _small_bundle(), entries=1)
         options = ["--call-seconds", "0.002", "--slots", "64"]
         await fleet.add_endpoint("shop-1", "plain", "shop", *options)
-        await fleet.until_serving("shop-1")
+        await fleet.wait_until_serving("shop-1")
         url = fleet.url("entry-1", "/services/shop/stock/x")
         headers = fleet.headers("counter")
 
@@ -418,7 +418,7 @@
         await start_small_fleet(fleet, _small_bundle(), entries=1)
         options = ["--token-seconds", "0.05", "--slots", "64"]
         await fleet.add_endpoint("chat-1", "engine", "chat", *options)
-        await fleet.until_serving("chat-1")
+        await fleet.wait_until_serving("chat-1")
         pair = [fleet.children["entry-1"], fleet.children["agent-chat-1"]]
         body = {"model": "chat", "stream": True, "max_tokens": 150}
 
@@ -460,7 +460,7 @@
         await start_small_fleet(fleet, bundle, entries=1)
         options = ["--token-seconds", "30", "--slots", "1"]
         await fleet.add_endpoint("chat-1", "engine", "chat", *options)
-        await fleet.until_serving("chat-1")
+        await fleet.wait_until_serving("chat-1")
         entry = fleet.children["entry-1"]
         content = "x" * 2000
         work: list[asyncio.Task] = []
@@ -494,7 +494,7 @@
 
 
 async def _sent(fleet, name: str) -> float:
-    page = await fleet.metrics_page(fleet.internals[name])
+    page = await fleet.metrics_page(fleet.internal_addresses[name])
     return sum(
         float(line.rpartition(" ")[2])
         for line in page.splitlines()
@@ -514,7 +514,7 @@
         await start_small_fleet(fleet, _small_bundle(), entries=1)
         options = ["--call-seconds", "0.002", "--slots", "64"]
         await fleet.add_endpoint("shop-1", "plain", "shop", *options)
-        await fleet.until_serving("shop-1")
+        await fleet.wait_until_serving("shop-1")
         leader = await _leader(fleet)
         run = random.Random(os.getpid()).randrange(10**9)
 
--- a/packages/fleet/tests/control/test_storage_failure.py
+++ b/packages/fleet/tests/control/test_storage_failure.py
@@ -14,7 +14,7 @@
 from marjoramyard.fleet.util.tasks import task_group
 from marjoramyard.kernel.ids import ReplicaId
 from marjoramyard.kernel.metrics import Metrics
-from marjoramyard.standin.local_fleet import until
+from marjoramyard.standin.local_fleet import wait_until
 
 
 @pytest.fixture
@@ -48,7 +48,7 @@
                 async def leads():
                     return running.leads()
 
-                await until(leads, "a leader")
+                await wait_until(leads, "a leader")
                 yield running
     finally:
         metrics.close()
@@ -80,7 +80,7 @@
     async def leads():
         return host.leads()
 
-    await until(leads, "the replica to start anew")
+    await wait_until(leads, "the replica to start anew")
     read = await host.service.read()
     assert read.ok_value.document in (first, second)
     assert isinstance(await host.service.accept(second), Ok)
--- a/packages/fleet/tests/test_listener.py
+++ b/packages/fleet/tests/test_listener.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from marjoramyard.fleet.application import Listener
-from marjoramyard.standin.local_fleet import until
+from marjoramyard.standin.local_fleet import wait_until
 from marjoramyard.standin.processes import free_address
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: shop.example\r\n\r\n"
@@ -37,7 +37,7 @@
         (connection,) = listener.runner.server.connections
         return connection if connection._waiter is not None else None
 
-    return await until(is_idle, "the server's end"), reader, writer
+    return await wait_until(is_idle, "the server's end"), reader, writer
 
 
 async def test_a_request_that_was_just_read_is_answered(listener):
--- a/packages/standin/src/marjoramyard/standin/plain.py
+++ b/packages/standin/src/marjoramyard/standin/booking_service.py
@@ -5,10 +5,10 @@
 
 from aiohttp import web
 
-from marjoramyard.standin.announcing import AnnouncedEndpoint
+from marjoramyard.standin.announced_endpoint import AnnouncedEndpoint
 
 
-class PlainService(AnnouncedEndpoint):
+class BookingService(AnnouncedEndpoint):
     """Counts what it does, so that a test sees anything done twice.
 
     Attributes:
--- a/packages/standin/src/marjoramyard/standin/cmd/demo.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/demo.py
@@ -23,7 +23,7 @@
     for number in (1, 2):
         await fleet.add_endpoint(f"assistant-{number}", "engine", "assistant")
     await fleet.add_endpoint("booking-1", "plain", "booking")
-    await fleet.until_serving("assistant-1", "assistant-2", "booking-1")
+    await fleet.wait_until_serving("assistant-1", "assistant-2", "booking-1")
 
 
 async def _show_chat(fleet: LocalFleet) -> None:
--- a/packages/standin/src/marjoramyard/standin/cmd/endpoint.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/endpoint.py
@@ -5,9 +5,9 @@
 
 import click
 
-from marjoramyard.standin.announcing import AnnouncedEndpoint
-from marjoramyard.standin.engine import Engine
-from marjoramyard.standin.plain import PlainService
+from marjoramyard.standin.announced_endpoint import AnnouncedEndpoint
+from marjoramyard.standin.booking_service import BookingService
+from marjoramyard.standin.engine import ChatEngine
 
 
 async def _serve(endpoint: AnnouncedEndpoint) -> None:
@@ -56,9 +56,11 @@
         "checks_fencing": checks_fencing,
     }
     if kind == "engine":
-        endpoint: AnnouncedEndpoint = Engine(token_seconds, slowdown, **common)
+        endpoint: AnnouncedEndpoint = ChatEngine(
+            token_seconds, slowdown, **common
+        )
     else:
-        endpoint = PlainService(call_seconds, journal, **common)
+        endpoint = BookingService(call_seconds, journal, **common)
     asyncio.run(_serve(endpoint))
 
 
--- a/packages/standin/src/marjoramyard/standin/engine.py
+++ b/packages/standin/src/marjoramyard/standin/engine.py
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.standin.announcing import AnnouncedEndpoint
+from marjoramyard.standin.announced_endpoint import AnnouncedEndpoint
 
 _WORDS = "snow boots fit well when the heel stays down and toes move".split()
 _BYTES_PER_TOKEN = 4
@@ -41,7 +41,7 @@
     crash: bool = False
 
 
-class Engine(AnnouncedEndpoint):
+class ChatEngine(AnnouncedEndpoint):
     """Batches whatever arrives; the more run, the slower each token."""
 
     def __init__(self, token_seconds: float, slowdown: float, **kwargs):
--- a/packages/standin/src/marjoramyard/standin/experiment/deployments.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/deployments.py
@@ -6,7 +6,7 @@
 import msgspec
 import yaml
 
-from marjoramyard.standin.experiment.engines import EngineSpeeds
+from marjoramyard.standin.experiment.engine_model import EngineSpeeds
 
 
 class Spread(msgspec.Struct, frozen=True):
--- a/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING
 
 from marjoramyard.coordination.placement.requests import UnbrokeredRequest
-from marjoramyard.standin.experiment.credit import Outcome
 from marjoramyard.standin.experiment.deployments import (
     Disturbance,
     DisturbanceKind,
 )
+from marjoramyard.standin.experiment.scoring import Outcome
 
 if TYPE_CHECKING:
     from marjoramyard.standin.experiment.simulation import Simulation
--- a/packages/standin/src/marjoramyard/standin/experiment/engines.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/engine_model.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from marjoramyard.coordination.routing.table import PromptPart
-from marjoramyard.standin.experiment.memory import EngineMemory
+from marjoramyard.standin.experiment.engine_memory import EngineMemory
 
 
 class EngineSpeeds(msgspec.Struct, frozen=True, kw_only=True):
--- a/packages/standin/src/marjoramyard/standin/experiment/runner.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/runner.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from marjoramyard.standin.experiment.credit import Credits
 from marjoramyard.standin.experiment.deployments import Deployment
-from marjoramyard.standin.experiment.plays import Tally
+from marjoramyard.standin.experiment.scoring import Credits
 from marjoramyard.standin.experiment.simulation import play
+from marjoramyard.standin.experiment.simulation_run import Tally
 
 _NORMAL_95 = 1.96
 
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation.py
@@ -11,17 +11,17 @@
     PlacementRefusal,
     PlacementRequest,
 )
-from marjoramyard.standin.experiment.credit import (
+from marjoramyard.standin.experiment.deployments import Deployment
+from marjoramyard.standin.experiment.disturbances import schedule
+from marjoramyard.standin.experiment.engine_model import ModelEngine, ModelRun
+from marjoramyard.standin.experiment.event_loop import EventLoop
+from marjoramyard.standin.experiment.policies import POLICIES, Policy
+from marjoramyard.standin.experiment.scoring import (
     Outcome,
     Record,
     count,
 )
-from marjoramyard.standin.experiment.deployments import Deployment
-from marjoramyard.standin.experiment.disturbances import schedule
-from marjoramyard.standin.experiment.engines import ModelEngine, ModelRun
-from marjoramyard.standin.experiment.events import EventLoop
-from marjoramyard.standin.experiment.plays import Attempt, Play, Tally
-from marjoramyard.standin.experiment.policies import POLICIES, Policy
+from marjoramyard.standin.experiment.simulation_run import Attempt, Play, Tally
 from marjoramyard.standin.experiment.workloads import Request, Workload
 
 CALLER_MS = 1.0
--- a/packages/standin/src/marjoramyard/standin/experiment/plays.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation_run.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from marjoramyard.standin.experiment.credit import Credits, Record
-from marjoramyard.standin.experiment.engines import ModelEngine, ModelRun
+from marjoramyard.standin.experiment.engine_model import ModelEngine, ModelRun
+from marjoramyard.standin.experiment.scoring import Credits, Record
 
 
 class Tally(msgspec.Struct):
--- a/packages/standin/src/marjoramyard/standin/local_fleet.py
+++ b/packages/standin/src/marjoramyard/standin/local_fleet.py
@@ -15,7 +15,7 @@
 
 from marjoramyard.standin.processes import (
     BINARIES,
-    Child,
+    ChildProcess,
     free_address,
     run_command,
 )
@@ -27,7 +27,7 @@
 _QUERY_SECONDS = 1.0
 
 
-async def until(
+async def wait_until(
     condition: Callable[[], Awaitable[Any]],
     what: str,
     seconds: float = WAIT_SECONDS,
@@ -68,10 +68,10 @@
     def __init__(self, folder: Path, session: aiohttp.ClientSession):
         self.folder = folder
         self.session = session
-        self.children: dict[str, Child] = {}
+        self.children: dict[str, ChildProcess] = {}
         self.control_hosts: dict[str, str] = {}
         self.entries: dict[str, str] = {}
-        self.internals: dict[str, str] = {}
+        self.internal_addresses: dict[str, str] = {}
         self.endpoint_addresses: dict[str, str] = {}
         self.announce_addresses: dict[str, str] = {}
         self.public_keys: dict[str, str] = {}
@@ -83,15 +83,15 @@
 
     # Processes.
 
-    async def start_child(self, name: str, command: list[str]) -> Child:
+    async def start_child(self, name: str, command: list[str]) -> ChildProcess:
         """Starts a process under a name, or again under the same one."""
         log = self.folder / f"{name}.log"
-        child = Child(name, command, log)
+        child = ChildProcess(name, command, log)
         self.children[name] = child
         await child.start()
         return child
 
-    async def start_daemon(self, name: str, settings: dict) -> Child:
+    async def start_daemon(self, name: str, settings: dict) -> ChildProcess:
         """Writes settings and starts a daemon with them."""
         base = {
             "name": name,
@@ -105,7 +105,7 @@
         command = [str(BINARIES / "marjoramyard"), "run", str(path)]
         return await self.start_child(name, command)
 
-    async def restart(self, name: str) -> Child:
+    async def restart(self, name: str) -> ChildProcess:
         """Starts a process that ended, with its old settings."""
         return await self.start_child(name, self.children[name].command)
 
@@ -126,10 +126,10 @@
         for name in names:
             await self.start_control_host(name)
         for name in names:
-            await self.until_healthy(self.control_hosts[name])
+            await self.wait_until_healthy(self.control_hosts[name])
         await self.ctl("cluster", "init")
 
-    async def start_control_host(self, name: str, **more: Any) -> Child:
+    async def start_control_host(self, name: str, **more: Any) -> ChildProcess:
         """Starts one control host."""
         settings = {
             "role": "control",
@@ -180,7 +180,7 @@
                 continue
         return None
 
-    def signing(self, who: str) -> list[str]:
+    def signing_options(self, who: str) -> list[str]:
         """Returns the options that make an operator sign."""
         return ["--as", who, "--key", str(self.folder / f"{who}.key")]
 
@@ -200,38 +200,40 @@
     async def propose(self, bundle: dict, who: str = AUTHOR) -> str:
         """Proposes a bundle; returns the change id."""
         path = self.write_bundle(bundle)
-        arguments = ["propose", str(path), *self.signing(who)]
+        arguments = ["propose", str(path), *self.signing_options(who)]
         return (await self.ctl_json(*arguments))["change_id"]
 
     async def roll_out(self, bundle: dict) -> int:
         """Proposes, approves and rolls a bundle; returns its version."""
         change = await self.propose(bundle)
-        await self.ctl("approve", change, *self.signing(APPROVER))
-        done = await self.ctl_json("roll", change, *self.signing(AUTHOR))
+        await self.ctl("approve", change, *self.signing_options(APPROVER))
+        done = await self.ctl_json(
+            "roll", change, *self.signing_options(AUTHOR)
+        )
         return done["version"]
 
     # Routers and stand-ins.
 
-    async def start_entry(self, name: str, **more: Any) -> Child:
+    async def start_entry(self, name: str, **more: Any) -> ChildProcess:
         """Starts an entry."""
         self.entries.setdefault(name, free_address())
-        self.internals.setdefault(name, free_address())
+        self.internal_addresses.setdefault(name, free_address())
         settings = {
             "role": "entry",
             "listen": self.entries[name],
-            "internal": self.internals[name],
+            "internal": self.internal_addresses[name],
             **more,
         }
         return await self.start_daemon(name, settings)
 
-    async def start_agent(self, name: str, **more: Any) -> Child:
+    async def start_agent(self, name: str, **more: Any) -> ChildProcess:
         """Starts the agent of the endpoint called `name`."""
         agent = f"agent-{name}"
-        self.internals.setdefault(agent, free_address())
+        self.internal_addresses.setdefault(agent, free_address())
         self.announce_addresses.setdefault(name, free_address())
         settings = {
             "role": "agent",
-            "internal": self.internals[agent],
+            "internal": self.internal_addresses[agent],
             "endpoint_listen": self.announce_addresses[name],
             **more,
         }
@@ -239,7 +241,7 @@
 
     async def start_endpoint(
         self, name: str, kind: str, service: str, *options: str
-    ) -> Child:
+    ) -> ChildProcess:
         """Starts a stand-in that announces itself to its agent."""
         self.endpoint_addresses.setdefault(name, free_address())
         command = [
@@ -276,7 +278,7 @@
 
     # Conditions.
 
-    async def is_page_good(self, address: str, path: str) -> bool:
+    async def responds_ok(self, address: str, path: str) -> bool:
         """Returns whether a health page says yes."""
         try:
             async with self.session.get(f"http://{address}{path}") as response:
@@ -284,30 +286,30 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
-    async def until_healthy(self, address: str) -> None:
+    async def wait_until_healthy(self, address: str) -> None:
         """Waits until a process answers."""
-        await until(
-            lambda: self.is_page_good(address, "/healthz"), f"{address} alive"
+        await wait_until(
+            lambda: self.responds_ok(address, "/healthz"), f"{address} alive"
         )
 
-    async def until_ready(self, address: str) -> None:
+    async def wait_until_ready(self, address: str) -> None:
         """Waits until a process takes work."""
-        await until(
-            lambda: self.is_page_good(address, "/readyz"), f"{address} ready"
+        await wait_until(
+            lambda: self.responds_ok(address, "/readyz"), f"{address} ready"
         )
 
-    async def until_serving(self, *names: str) -> None:
+    async def wait_until_serving(self, *names: str) -> None:
         """Waits until endpoints are ready in every entry's directory."""
         for entry, address in self.entries.items():
             if not self.children[entry].is_running:
                 continue
-            await self.until_ready(address)
+            await self.wait_until_ready(address)
 
             async def all_ready(entry: str = entry) -> bool:
-                page = await self.metrics_page(self.internals[entry])
+                page = await self.metrics_page(self.internal_addresses[entry])
                 return all(_is_ready_in(page, name) for name in names)
 
-            await until(all_ready, f"{names} at {entry}")
+            await wait_until(all_ready, f"{names} at {entry}")
 
     async def metrics_page(self, address: str) -> str:
         """Returns a process's metrics, or nothing if it gives none."""
@@ -332,7 +334,7 @@
         """Ends all our processes."""
         running = [c for c in self.children.values() if c.is_running]
         for child in running:
-            child.thaw()
+            child.resume()
         await asyncio.gather(*(child.kill() for child in running))
 
 
@@ -367,4 +369,4 @@
         await fleet.start_entry(f"entry-{number}")
     await fleet.roll_out(bundle)
     for address in fleet.entries.values():
-        await fleet.until_ready(address)
+        await fleet.wait_until_ready(address)
--- a/packages/standin/src/marjoramyard/standin/processes.py
+++ b/packages/standin/src/marjoramyard/standin/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a local fleet: started, signalled, waited for."""
+"""ChildProcess processes of a local fleet: started, signalled, waited for."""
 
 import asyncio
 import os
@@ -35,7 +35,7 @@
             return f"127.0.0.1:{port}"
 
 
-class Child:
+class ChildProcess:
     """One process that we started; only its own id is ever signalled."""
 
     def __init__(
@@ -77,11 +77,11 @@
         if self.is_running:
             self.process.send_signal(number)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stops it without its noticing."""
         self.signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Lets it go on."""
         self.signal(signal.SIGCONT)
 
--- a/packages/standin/src/marjoramyard/standin/relay.py
+++ b/packages/standin/src/marjoramyard/standin/relay.py
@@ -11,39 +11,39 @@
     """Passes bytes both ways.
 
     Attributes:
-        is_cut: Bytes vanish and new connections hang, as behind a silent
-            network partition: nobody is told.
-        replies_pass: Cleared, it holds what comes back until it is set.
+        is_partitioned: Bytes vanish and new connections hang, as behind a
+            silent network partition: nobody is told.
+        replies_allowed: Cleared, it holds what comes back until it is set.
         delay_seconds: How much later each piece is passed on.
     """
 
     def __init__(self, target: str):
         self.target = target
         self.address = ""
-        self.is_cut = False
+        self.is_partitioned = False
         self.delay_seconds = 0.0
-        self.silent: set[asyncio.StreamWriter] = set()
-        self.replies_pass = asyncio.Event()
-        self.replies_pass.set()
+        self.stalled_writers: set[asyncio.StreamWriter] = set()
+        self.replies_allowed = asyncio.Event()
+        self.replies_allowed.set()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.connections = 0
+        self.connection_count = 0
         self.tasks: set[asyncio.Task] = set()
 
-    def cut(self) -> None:
+    def partition(self) -> None:
         """Lets nothing through any more, and tells nobody."""
-        self.is_cut = True
+        self.is_partitioned = True
 
     def heal(self) -> None:
         """Lets new connections through; the old ones are broken."""
-        self.is_cut = False
+        self.is_partitioned = False
         self.break_connections()
 
-    def silence(self) -> None:
+    def stall_connections(self) -> None:
         """Lets nothing through on present connections, for good.
 
         Nobody is told, and new connections work.
         """
-        self.silent |= self.writers
+        self.stalled_writers |= self.writers
 
     def break_connections(self) -> None:
         """Breaks all present connections; new ones are let through."""
@@ -54,7 +54,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Passes one connection on."""
-        self.connections += 1
+        self.connection_count += 1
         self.writers.add(writer)
         self.tasks.add(asyncio.current_task())
         host, _, port = self.target.rpartition(":")
@@ -63,7 +63,7 @@
             self.writers.add(there[1])
             await asyncio.gather(
                 self._pass(reader, there[1]),
-                self._pass(there[0], writer, self.replies_pass),
+                self._pass(there[0], writer, self.replies_allowed),
             )
         except (OSError, asyncio.IncompleteReadError):
             writer.transport.abort()
@@ -103,10 +103,10 @@
             writer.transport.abort()
         finally:
             self.writers.discard(writer)
-            self.silent.discard(writer)
+            self.stalled_writers.discard(writer)
 
     def _lets_through(self, writer: asyncio.StreamWriter) -> bool:
-        return not self.is_cut and writer not in self.silent
+        return not self.is_partitioned and writer not in self.stalled_writers
 
 
 @asynccontextmanager
--- a/packages/standin/tests/experiment/test_engines.py
+++ b/packages/standin/tests/experiment/test_engine_model.py
@@ -3,12 +3,12 @@
 import pytest
 
 from marjoramyard.coordination.routing.table import PromptPart
-from marjoramyard.standin.experiment.engines import (
+from marjoramyard.standin.experiment.engine_model import (
     EngineSpeeds,
     ModelEngine,
     ModelRun,
 )
-from marjoramyard.standin.experiment.events import EventLoop
+from marjoramyard.standin.experiment.event_loop import EventLoop
 
 SPEEDS = EngineSpeeds(
     slots=4,
--- a/packages/standin/tests/experiment/test_experiment.py
+++ b/packages/standin/tests/experiment/test_experiment.py
@@ -8,7 +8,6 @@
 from click.testing import CliRunner
 
 from marjoramyard.ctl.cmd.main import main
-from marjoramyard.standin.experiment.credit import Outcome, fair_shares
 from marjoramyard.standin.experiment.deployments import (
     Disturbance,
     DisturbanceKind,
@@ -16,6 +15,7 @@
     read_deployment,
 )
 from marjoramyard.standin.experiment.runner import estimate
+from marjoramyard.standin.experiment.scoring import Outcome, fair_shares
 from marjoramyard.standin.experiment.simulation import Simulation, play
 
 EXAMPLES = Path(__file__).parents[4] / "examples" / "experiments"
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -10,13 +10,13 @@
 from aiohttp import web
 
 from marjoramyard.standin import local_fleet
-from marjoramyard.standin.processes import Child, free_address
+from marjoramyard.standin.processes import ChildProcess, free_address
 
 SECONDS = 30.0
 KEY = "key-of-shop-1234"
 
 
-async def until(check, seconds=SECONDS):
+async def wait_until(check, seconds=SECONDS):
     """Waits until an async check returns something true, and returns it."""
 
     async def reached():
@@ -24,7 +24,7 @@
             return await check()
         return None
 
-    return await local_fleet.until(reached, check.__name__, seconds)
+    return await local_fleet.wait_until(reached, check.__name__, seconds)
 
 
 class FakeEndpoint:
@@ -136,7 +136,7 @@
     async def start(self, name):
         command = [sys.executable, "-m", "marjoramyard.fleet", "run"]
         command.append(str(self.folder / f"{name}.yaml"))
-        child = Child(name, command, self.folder / f"{name}.log")
+        child = ChildProcess(name, command, self.folder / f"{name}.log")
         self.children[name] = child
         await child.start()
         return child
@@ -149,7 +149,7 @@
             async with self.session.put(url, json=config) as response:
                 return response.status == 200
 
-        await until(put)
+        await wait_until(put)
 
     async def read_config(self, host):
         url = f"http://{self.operators[host]}/fleet-config"
@@ -225,8 +225,8 @@
         for name in ("control-0", "control-1", "control-2", "gateway"):
             await fleet.start(name)
         await fleet.put_config(config(1))
-        await until(fleet.is_ready)
-        await until(fleet.all_hosts_serve)
+        await wait_until(fleet.is_ready)
+        await wait_until(fleet.all_hosts_serve)
         yield fleet
     finally:
         await fleet.close()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -159,7 +159,7 @@
 async def cut(links: list[Relay], seconds: float) -> None:
     """Lets nothing through in either direction, and tells nobody."""
     for link in links:
-        link.cut()
+        link.partition()
     await asyncio.sleep(seconds)
     for link in links:
         link.heal()
@@ -168,16 +168,16 @@
 async def cut_replies(links: list[Relay], seconds: float) -> None:
     """Lets requests through and holds what comes back."""
     for link in links:
-        link.replies_pass.clear()
+        link.replies_allowed.clear()
     await asyncio.sleep(seconds)
     for link in links:
-        link.replies_pass.set()
+        link.replies_allowed.set()
 
 
 async def silence(links: list[Relay], _: float) -> None:
     """Open connections fall silent for good; new ones work."""
     for link in links:
-        link.silence()
+        link.stall_connections()
 
 
 LINK: dict[FaultKind, Callable[[list[Relay], float], Awaitable[None]]] = {
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -11,7 +11,7 @@
 
 import yaml
 
-from marjoramyard.standin.processes import Child, free_address
+from marjoramyard.standin.processes import ChildProcess, free_address
 from marjoramyard.standin.relay import Relay, relay_to
 from soak import misbehaving
 from soak.plan import Size
@@ -25,7 +25,9 @@
 class Node:
     """One process of the fleet and the link that leads to it."""
 
-    def __init__(self, target: str, number: int, child: Child, relay: Relay):
+    def __init__(
+        self, target: str, number: int, child: ChildProcess, relay: Relay
+    ):
         self.target = target
         self.number = number
         self.child = child
@@ -102,11 +104,11 @@
             grace_seconds=GRACE_SECONDS,
         )
 
-    def _child(self, name: str) -> Child:
+    def _child(self, name: str) -> ChildProcess:
         command = [sys.executable, "-m", "marjoramyard.fleet", "run"]
         command.append(str(self.folder / f"{name}.yaml"))
         env = {"PYTHONPATH": str(TESTS)}
-        return Child(name, command, self.folder / f"{name}.log", env)
+        return ChildProcess(name, command, self.folder / f"{name}.log", env)
 
     def _write(self, name: str, **settings) -> None:
         settings |= {
@@ -137,7 +139,7 @@
         """Ends what was started, by its own ids."""
         for node in [*self.controls, *self.gateways]:
             if node.child.is_running:
-                node.child.thaw()
+                node.child.resume()
                 await node.child.kill()
 
     # What can happen to a process.
@@ -152,9 +154,9 @@
 
     async def pause(self, node: Node, seconds: float) -> None:
         """Lets a process stand still for a while."""
-        node.child.freeze()
+        node.child.suspend()
         await asyncio.sleep(seconds)
-        node.child.thaw()
+        node.child.resume()
 
     async def stop(self, node: Node, seconds: float) -> None:
         """Stops a process as the platform does, and starts it again."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -10,7 +10,7 @@
 
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.kernel.metrics import Metrics
-from marjoramyard.standin.local_fleet import until
+from marjoramyard.standin.local_fleet import wait_until
 from marjoramyard.standin.relay import relay_to
 from soak.callers import Callers
 from soak.endpoints import Endpoint
@@ -106,7 +106,7 @@
             return await serves()
         return False
 
-    await until(does, "the fleet to serve", START_SECONDS)
+    await wait_until(does, "the fleet to serve", START_SECONDS)
 
 
 async def _play(plan: list[Fault], injector: Injector) -> None:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -6,7 +6,7 @@
 import pytest
 from callers import book, call
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 from marjoramyard.standin.relay import relay_to
 
 
@@ -19,7 +19,7 @@
         await fleet.add_endpoint(
             name, "plain", "shop", "--call-seconds", "0.3", *options
         )
-    await fleet.until_serving("shop-1", "shop-2")
+    await fleet.wait_until_serving("shop-1", "shop-2")
     return fleet
 
 
@@ -33,7 +33,7 @@
     async def is_booked():
         return key in booked(fleet)
 
-    await until(is_booked, f"{key} to be booked")
+    await wait_until(is_booked, f"{key} to be booked")
 
 
 async def test_resends_through_any_entry_get_the_first_answer(shop):
@@ -68,7 +68,7 @@
     async def has_answer():
         return (await book(shop, "hold-2", "entry-2")).status == 201
 
-    await until(has_answer, "the stored answer")
+    await wait_until(has_answer, "the stored answer")
     assert booked(shop) == ["hold-2"]
 
 
@@ -80,20 +80,20 @@
     """
     agents = [shop.children[f"agent-shop-{n}"] for n in (1, 2)]
     for agent in agents:
-        agent.freeze()
+        agent.suspend()
     answer = await book(shop, "hold-3", X_Request_Deadline_Seconds="4")
     assert answer.status >= 500
     assert answer.outcome in ("not-run", "unknown")
     if answer.outcome == "not-run":
         assert "hold-3" not in booked(shop)
     for agent in agents:
-        agent.thaw()
+        agent.resume()
 
     async def settled():
         again = await book(shop, "hold-3", "entry-2")
         return again.status == 201
 
-    await until(settled, "the resend to be booked")
+    await wait_until(settled, "the resend to be booked")
     assert booked(shop) == ["hold-3"]
 
 
@@ -119,7 +119,7 @@
                     assert key not in booked(shop)
                 return answer.status == 201
 
-            await until(answered, f"{key} to be booked")
+            await wait_until(answered, f"{key} to be booked")
             placed.append(key)
 
     async def killer():
@@ -131,7 +131,7 @@
             async def goes_on(goal=goal):
                 return len(placed) >= goal
 
-            await until(goes_on, "bookings under another leader")
+            await wait_until(goes_on, "bookings under another leader")
             await shop.restart(leader)
         stop.set()
 
@@ -146,7 +146,7 @@
                 return row["name"]
         return None
 
-    return await until(known, "a leader")
+    return await wait_until(known, "a leader")
 
 
 async def test_without_a_quorum_bookings_are_refused_at_once(shop):
@@ -170,16 +170,16 @@
         later = await call(shop, "GET", "/services/shop/stock/boots")
         return later.status == 503 and "no_bundle_lease" in later.text
 
-    await until(lease_ended, "the lease to end")
+    await wait_until(lease_ended, "the lease to end")
     for name in ("control-1", "control-2"):
         await shop.restart(name)
     for entry in shop.entries.values():
-        await shop.until_ready(entry)
+        await shop.wait_until_ready(entry)
 
     async def works_again():
         return (await book(shop, "hold-5")).status == 201
 
-    await until(works_again, "bookings to work again")
+    await wait_until(works_again, "bookings to work again")
     assert booked(shop) == ["hold-5"]
 
 
@@ -197,8 +197,8 @@
         await fleet.start_agent("shop-1", control_hosts=[relay.address])
         journal = ["--journal", str(fleet.folder / "journal")]
         await fleet.start_endpoint("shop-1", "plain", "shop", *journal)
-        await fleet.until_serving("shop-1")
-        relay.replies_pass.clear()
+        await fleet.wait_until_serving("shop-1")
+        relay.replies_allowed.clear()
         late = asyncio.ensure_future(
             book(fleet, "hold-7", X_Request_Deadline_Seconds="3")
         )
@@ -206,14 +206,14 @@
         async def committed():
             return (await fleet.query("ledger") or {}).get("started") == 1
 
-        await until(committed, "the start to be committed")
+        await wait_until(committed, "the start to be committed")
         agent = fleet.children["agent-shop-1"]
-        agent.freeze()
-        relay.replies_pass.set()
+        agent.suspend()
+        relay.replies_allowed.set()
         answer = await late
         assert answer.outcome == "unknown"
         assert booked(fleet) == []
-        agent.thaw()
+        agent.resume()
         for entry in ("entry-1", "entry-2"):
             again = await book(fleet, "hold-7", entry)
             assert again.status in (201, 409)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -11,7 +11,7 @@
     APPROVER,
     AUTHOR,
     start_small_fleet,
-    until,
+    wait_until,
 )
 from marjoramyard.standin.processes import free_address
 from marjoramyard.standin.relay import relay_to
@@ -30,7 +30,7 @@
         leaders.sort(key=lambda r: r["term"])
         return leaders[-1]["name"] if leaders else None
 
-    return await until(known, "a leader")
+    return await wait_until(known, "a leader")
 
 
 async def version_on(fleet, address):
@@ -43,12 +43,12 @@
 
 
 async def until_version(fleet, version):
-    for address in fleet.internals.values():
+    for address in fleet.internal_addresses.values():
 
         async def is_there(address=address):
             return await version_on(fleet, address) == version
 
-        await until(is_there, f"version {version} on {address}")
+        await wait_until(is_there, f"version {version} on {address}")
 
 
 async def test_two_operators_race_and_the_loser_is_told(fleet, bundle):
@@ -57,11 +57,11 @@
     one = await fleet.propose(with_share(bundle, 5))
     two = await fleet.propose(with_share(bundle, 7))
     for change in (one, two):
-        await fleet.ctl("approve", change, *fleet.signing(APPROVER))
+        await fleet.ctl("approve", change, *fleet.signing_options(APPROVER))
 
     async def roll(change):
         try:
-            await fleet.ctl("roll", change, *fleet.signing(AUTHOR))
+            await fleet.ctl("roll", change, *fleet.signing_options(AUTHOR))
         except RuntimeError as error:
             return str(error)
         return "rolled"
@@ -71,7 +71,9 @@
     lost = next(o for o in outcomes if o != "rolled")
     assert "exit 4" in lost and "version 2 by awa is in force" in lost
     again = await fleet.ctl_json(
-        "roll", one if outcomes[0] == "rolled" else two, *fleet.signing(AUTHOR)
+        "roll",
+        one if outcomes[0] == "rolled" else two,
+        *fleet.signing_options(AUTHOR),
     )
     assert again["version"] == 2
 
@@ -84,9 +86,13 @@
     errors = await fleet.ctl("propose", str(changed), *forged, code=1)
     assert "invalid_signature" in errors
     change = await fleet.propose(with_share(bundle, 9))
-    errors = await fleet.ctl("approve", change, *fleet.signing(AUTHOR), code=1)
+    errors = await fleet.ctl(
+        "approve", change, *fleet.signing_options(AUTHOR), code=1
+    )
     assert "another person" in errors
-    errors = await fleet.ctl("roll", change, *fleet.signing(AUTHOR), code=4)
+    errors = await fleet.ctl(
+        "roll", change, *fleet.signing_options(AUTHOR), code=4
+    )
     assert "not approved" in errors
 
 
@@ -121,9 +127,9 @@
             async def goes_on(goal=goal):
                 return len(rolled) >= goal
 
-            await until(goes_on, f"changes without {name}")
+            await wait_until(goes_on, f"changes without {name}")
             await fleet.restart(name)
-            await fleet.until_healthy(fleet.control_hosts[name])
+            await fleet.wait_until_healthy(fleet.control_hosts[name])
 
     await asyncio.gather(operator(), killer())
     assert rolled == list(range(2, 14))
@@ -135,7 +141,7 @@
     changes = await fleet.ctl_json("changes")
     first = next(c for c in changes if c["version"] == 2)
     again = await fleet.ctl_json(
-        "roll", first["change_id"], *fleet.signing(AUTHOR)
+        "roll", first["change_id"], *fleet.signing_options(AUTHOR)
     )
     assert again["version"] == 2
 
@@ -148,30 +154,30 @@
     """
     await start_small_fleet(fleet, bundle)
     old = await leader_of(fleet)
-    fleet.children[old].freeze()
+    fleet.children[old].suspend()
     assert await fleet.roll_out(with_share(bundle, 3)) == 2
     await until_version(fleet, 2)
-    fleet.children[old].thaw()
+    fleet.children[old].resume()
     for name in fleet.control_hosts:
         if name != old:
-            fleet.children[name].freeze()
+            fleet.children[name].suspend()
     address = fleet.control_hosts[old]
     await fleet.children["entry-1"].kill()
     entry = await fleet.restart("entry-1")
     assert entry.is_running
-    await fleet.until_healthy(fleet.entries["entry-1"])
+    await fleet.wait_until_healthy(fleet.entries["entry-1"])
 
     async def old_leader_gave_up():
         rows = await fleet.ctl_json("status")
         row = next(r for r in rows if r["host"] == address)
         return row["role"] not in ("leader", "no answer")
 
-    await until(old_leader_gave_up, "the old leader to step down")
+    await wait_until(old_leader_gave_up, "the old leader to step down")
     refused = await chat(fleet, "entry-1", max_tokens=1)
     assert (refused.status, refused.outcome) == (503, "not-run")
     assert "no_bundle_lease" in refused.text
     for name in fleet.control_hosts:
-        fleet.children[name].thaw()
+        fleet.children[name].resume()
     await until_version(fleet, 2)
 
 
@@ -195,12 +201,12 @@
             more = {"internal": inner} if name == "control-1" else {}
             await fleet.start_control_host(name, **more)
         for name in names:
-            await fleet.until_healthy(fleet.control_hosts[name])
+            await fleet.wait_until_healthy(fleet.control_hosts[name])
         await fleet.ctl("cluster", "init")
         await fleet.start_entry("entry-1")
         await fleet.roll_out(bundle)
         await until_version(fleet, 1)
-        relay.cut()
+        relay.partition()
         assert await fleet.roll_out(with_share(bundle, 4)) == 2
         await until_version(fleet, 2)
         relay.heal()
@@ -210,7 +216,7 @@
             rows = await fleet.ctl_json("status")
             return [r.get("bundle") for r in rows] == [3, 3, 3]
 
-        await until(caught_up, "the healed host to catch up")
+        await wait_until(caught_up, "the healed host to catch up")
         await until_version(fleet, 3)
 
 
@@ -224,7 +230,7 @@
     """
     await start_small_fleet(fleet, bundle, entries=1)
     await fleet.add_endpoint("shop-1", "plain", "shop")
-    await fleet.until_serving("shop-1")
+    await fleet.wait_until_serving("shop-1")
     booking = {
         "headers": {"Idempotency_Key": "hold-9"},
         "json": {"boots": 1},
@@ -237,7 +243,7 @@
     await fleet.children[lost["name"]].kill()
     shutil.rmtree(fleet.folder / f"{lost['name']}-data")
     await fleet.restart(lost["name"])
-    await fleet.until_healthy(lost["host"])
+    await fleet.wait_until_healthy(lost["host"])
     rows = await fleet.ctl_json("status")
     assert next(r for r in rows if r["host"] == lost["host"])["role"] == "empty"
     repaired = await fleet.ctl_json(
@@ -271,21 +277,21 @@
     await start_small_fleet(fleet, bundle, entries=1)
     options = ["--checks-fencing"] if checks else []
     await fleet.add_endpoint("chat-1", "engine", "chat", *options)
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     await fleet.ctl("order", "chat-1", "load", "model-a", "--as", AUTHOR)
 
     async def followed(argument):
         return (await fleet.counters("chat-1"))["orders"][-1:] == [argument]
 
-    await until(lambda: followed("model-a"), "the first order")
+    await wait_until(lambda: followed("model-a"), "the first order")
     old = await leader_of(fleet)
-    fleet.children[old].freeze()
+    fleet.children[old].suspend()
     await fleet.ctl("order", "chat-1", "load", "model-b", "--as", AUTHOR)
-    await until(lambda: followed("model-b"), "the second order")
+    await wait_until(lambda: followed("model-b"), "the second order")
     await fleet.children["agent-chat-1"].kill()
-    fleet.children[old].thaw()
+    fleet.children[old].resume()
     await fleet.restart("agent-chat-1")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     orders = (await fleet.counters("chat-1"))["orders"]
     assert "model-a" not in orders[orders.index("model-b") :]
 
@@ -299,12 +305,12 @@
     """
     await start_small_fleet(fleet, bundle)
     await fleet.add_endpoint("chat-1", "engine", "chat")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     names = list(fleet.control_hosts)
     await asyncio.gather(*(fleet.children[n].kill() for n in names))
     assert (await chat(fleet, max_tokens=1)).status == 200
     for name in names:
         await fleet.restart(name)
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     assert (await chat(fleet, max_tokens=1)).status == 200
     assert (await chat(fleet, "entry-2", max_tokens=1)).status == 200
--- a/tests/test_faults_together.py
+++ b/tests/test_faults_together.py
@@ -5,7 +5,7 @@
 
 from callers import book, chat
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 
 ROUNDS = 2
 
@@ -45,7 +45,7 @@
                 lost = "call_in_progress" in answer.text and place > 20
                 return answer.status == 201 or lost
 
-            await until(ended, f"{key} to be answered")
+            await wait_until(ended, f"{key} to be answered")
 
     async def reader(self, number):
         """Streams chats and notes what each looked like."""
@@ -67,7 +67,7 @@
         leaders = [r for r in rows if r["role"] == "leader"]
         return max(leaders, key=lambda r: r["term"])["name"] if leaders else 0
 
-    return await until(known, "a leader")
+    return await wait_until(known, "a leader")
 
 
 async def one_round(fleet, watch, number):
@@ -75,7 +75,7 @@
     leader = await leader_of(fleet)
     entry, engine = f"entry-{1 + number % 2}", f"chat-{1 + number % 2}"
     agent = fleet.children[f"agent-shop-{1 + number % 2}"]
-    agent.freeze()
+    agent.suspend()
     killed = (leader, entry, engine)
     await asyncio.gather(*(fleet.children[n].kill() for n in killed))
     goal = len(watch.done) + 8, len(watch.streams) + 8
@@ -83,11 +83,11 @@
     async def goes_on():
         return (len(watch.done), len(watch.streams)) >= goal
 
-    await until(goes_on, "bookings and streams beside the failures")
+    await wait_until(goes_on, "bookings and streams beside the failures")
     for name in killed:
         await fleet.restart(name)
-    agent.thaw()
-    await fleet.until_serving("chat-1", "chat-2", "shop-1", "shop-2")
+    agent.resume()
+    await fleet.wait_until_serving("chat-1", "chat-2", "shop-1", "shop-2")
 
 
 async def test_a_leader_an_entry_an_engine_and_an_agent_fail_at_once_twice(
@@ -105,7 +105,7 @@
         await fleet.add_endpoint(
             f"shop-{n}", "plain", "shop", "--call-seconds", "0.05", *journal
         )
-    await fleet.until_serving("chat-1", "chat-2", "shop-1", "shop-2")
+    await fleet.wait_until_serving("chat-1", "chat-2", "shop-1", "shop-2")
     watch = Watch(fleet)
     work = [asyncio.ensure_future(watch.customer(n)) for n in range(6)]
     work += [asyncio.ensure_future(watch.reader(n)) for n in range(6)]
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -9,7 +9,7 @@
 from marjoramyard.standin.local_fleet import (
     local_fleet,
     start_small_fleet,
-    until,
+    wait_until,
 )
 
 scenarios("features/leaving.feature")
@@ -60,7 +60,7 @@
         await fleet.add_endpoint(
             "shop-1", "plain", "shop", "--call-seconds", "0.5"
         )
-        await fleet.until_serving("shop-1")
+        await fleet.wait_until_serving("shop-1")
 
     story.do(start())
 
@@ -71,7 +71,7 @@
         fleet = story.fleet
         await start_small_fleet(fleet, story.bundle, control=1)
         await fleet.add_endpoint("chat-1", "engine", "chat", "--slots", "2")
-        await fleet.until_serving("chat-1")
+        await fleet.wait_until_serving("chat-1")
 
     story.do(start())
 
@@ -83,7 +83,7 @@
     async def is_booked():
         return key in (await story.fleet.counters("shop-1"))["bookings"]
 
-    story.do(until(is_booked, "the hold to be placed"))
+    story.do(wait_until(is_booked, "the hold to be placed"))
 
 
 @when("the first entry is killed before it answers")
@@ -102,7 +102,7 @@
         answer = await book(story.fleet, key, "entry-2")
         return answer if answer.status == 201 else None
 
-    story.answers["hold"] = story.do(until(answered, "the answer"))
+    story.answers["hold"] = story.do(wait_until(answered, "the answer"))
 
 
 @then("the counter gets the answer of the first hold")
@@ -126,7 +126,7 @@
         counters = await story.fleet.counters("chat-1")
         return counters["running"] == 2
 
-    story.do(until(waiting, "the flood to fill the engine"))
+    story.do(wait_until(waiting, "the flood to fill the engine"))
 
 
 @when(parsers.parse("the counter sends {count:d} requests after them"))
--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -14,7 +14,7 @@
     config,
     gateway_fleet,
     route,
-    until,
+    wait_until,
 )
 
 
@@ -28,14 +28,14 @@
 async def endpoint(fleet):
     async with FakeEndpoint("i-1").serving() as one:
         await fleet.tell(one)
-        await until(fleet.served)
+        await wait_until(fleet.served)
         one.seen.clear()
         yield one
 
 
 async def test_a_request_is_served_with_our_headers_only(fleet, endpoint):
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    await until(lambda: fleet_has(fleet, "/k/x", 401))
+    await wait_until(lambda: fleet_has(fleet, "/k/x", 401))
     headers = {"Api-Key": KEY, "Workspace": "somebody-else", "X-Mine": "1"}
     async with fleet.request("/k/x?q=1", data=b"body", headers=headers) as got:
         assert got.status == 200
@@ -56,7 +56,7 @@
 
 async def test_an_unknown_path_and_a_wrong_key_are_told_apart(fleet, endpoint):
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    await until(lambda: fleet_has(fleet, "/k/x", 401))
+    await wait_until(lambda: fleet_has(fleet, "/k/x", 401))
     assert await fleet_has(fleet, "/nowhere/x", 404)
     assert endpoint.seen == []
 
@@ -69,14 +69,14 @@
         async with fleet.request("/k/x", headers=headers) as response:
             return response.status == 200
 
-    await until(allowed)
+    await wait_until(allowed)
     keyless = config(3, route("k", "/k/", open_access=False), keys=())
     await fleet.put_config(keyless)
 
     async def refused():
         return not await allowed()
 
-    await until(refused, seconds=5.0)
+    await wait_until(refused, seconds=5.0)
 
 
 async def test_a_cut_off_gateway_stops_taking_keys(fleet, endpoint):
@@ -99,16 +99,16 @@
     async def is_refused():
         return await status() == 503
 
-    await until(is_allowed)
+    await wait_until(is_allowed)
     controls = [c for n, c in fleet.children.items() if n != "gateway"]
     for child in controls:
-        child.freeze()
-    await until(is_refused, seconds=6.0)
+        child.suspend()
+    await wait_until(is_refused, seconds=6.0)
     assert await fleet.served()
     assert not await fleet.is_ready()
     for child in controls:
-        child.thaw()
-    await until(is_allowed)
+        child.resume()
+    await wait_until(is_allowed)
 
 
 async def test_a_draining_endpoint_gets_no_new_work(fleet, endpoint):
@@ -121,7 +121,7 @@
             await fleet.served()
             return len(other.seen) > before
 
-        await until(goes_to_the_other)
+        await wait_until(goes_to_the_other)
         endpoint.seen.clear()
         for _ in range(10):
             assert await fleet.served()
@@ -141,7 +141,7 @@
             # False until the gateway has heard of the second endpoint.
             return await fleet.served() and endpoint.seen and other.seen
 
-        await until(served_after_a_break)
+        await wait_until(served_after_a_break)
         for _ in range(10):
             assert await fleet.served()
 
@@ -163,7 +163,7 @@
     async with FakeEndpoint("i-2").serving() as other:
         other.answer = broken
         await fleet.tell(other)
-        await until(lambda: fleet_has(fleet, "/b/x", 502))
+        await wait_until(lambda: fleet_has(fleet, "/b/x", 502))
         endpoint.seen.clear()
         other.seen.clear()
         async with fleet.request("/b/x", id="once") as response:
@@ -263,7 +263,7 @@
                     return None
                 return await response.text()
 
-        text = await until(whole)
+        text = await wait_until(whole)
         pieces = [n for n in range(1, 7) if f"piece {n}\n" in text]
         assert pieces == [1, 2, 3, 4, 5, 6]
         assert text.count("piece 3\n") == 1
@@ -277,7 +277,7 @@
     endpoint.answer = lambda request: events(
         request, endpoint, 1, 3, break_after=True
     )
-    await until(lambda: fleet_has(fleet, "/s/x", 200))
+    await wait_until(lambda: fleet_has(fleet, "/s/x", 200))
     async with fleet.request("/s/x") as response:
         with pytest.raises(aiohttp.ClientPayloadError):
             await response.text()
@@ -309,7 +309,7 @@
     async def not_ready():
         return not await fleet.is_ready()
 
-    await until(not_ready)
+    await wait_until(not_ready)
     release.set()
     assert await running == "slow"
     endpoint.answer = None
@@ -342,7 +342,7 @@
         async def closed():
             return sum(reader.at_eof() for reader, _ in idle) >= 48
 
-        await until(closed)
+        await wait_until(closed)
         assert await fleet_has(fleet, "/nowhere/x", 404)
         for _, writer in idle:
             writer.close()
@@ -356,7 +356,7 @@
     async def reloaded():
         return "settings_reloaded" in log.read_text()
 
-    await until(reloaded)
+    await wait_until(reloaded)
     assert child.is_running
     assert await fleet.served()
 
@@ -381,7 +381,7 @@
             new = await voter_at(fleet, number)
             return new not in (None, old)
 
-        await until(is_replaced)
+        await wait_until(is_replaced)
 
     async def all_hosts_agree():
         found = [await fleet.read_config(host) for host in range(3)]
@@ -389,7 +389,7 @@
             status == 200 and text["version"] == 11 for status, text in found
         )
 
-    await until(all_hosts_agree)
+    await wait_until(all_hosts_agree)
 
 
 async def voter_at(fleet, number):
--- a/tests/test_golden_sessions.py
+++ b/tests/test_golden_sessions.py
@@ -50,7 +50,7 @@
         return f"--- {step['leave']} leaves\n\n"
     if "join" in step:
         await fleet.add_endpoint(step["join"], step["kind"], step["service"])
-        await fleet.until_serving(step["join"])
+        await fleet.wait_until_serving(step["join"])
         return f"--- {step['join']} joins\n\n"
     step.setdefault("workspace", "counter")
     answer = await call(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -5,7 +5,7 @@
 
 from callers import chat, open_stream, read_rest
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 
 
 async def test_every_role_told_to_stop_cuts_no_stream(fleet, bundle):
@@ -16,7 +16,7 @@
     """
     await start_small_fleet(fleet, bundle)
     await fleet.add_endpoint("chat-1", "engine", "chat")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     async with open_stream(fleet, max_tokens=300) as response:
         names = ("entry-1", "agent-chat-1", "control-1")
         children = [fleet.children[name] for name in names]
@@ -25,9 +25,9 @@
         entry = fleet.entries["entry-1"]
 
         async def not_ready():
-            return not await fleet.is_page_good(entry, "/readyz")
+            return not await fleet.responds_ok(entry, "/readyz")
 
-        await until(not_ready, "readiness to go off")
+        await wait_until(not_ready, "readiness to go off")
         refused = await chat(fleet, max_tokens=1)
         assert (refused.status, refused.outcome) == (503, "not-run")
         text, broken = await read_rest(response)
@@ -44,7 +44,7 @@
     """An endpoint says that it leaves while requests stream and wait."""
     await start_small_fleet(fleet, bundle, control=1)
     await fleet.add_endpoint("chat-1", "engine", "chat", "--slots", "2")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     streams = [
         asyncio.ensure_future(chat(fleet, stream=True, max_tokens=150))
         for _ in range(2)
@@ -53,7 +53,7 @@
     async def full():
         return (await fleet.counters("chat-1"))["running"] == 2
 
-    await until(full, "both slots to be busy")
+    await wait_until(full, "both slots to be busy")
     waiting = [
         asyncio.ensure_future(chat(fleet, entry, max_tokens=1))
         for entry in ("entry-1", "entry-2")
@@ -79,7 +79,7 @@
     """
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     await fleet.add_endpoint("chat-1", "engine", "chat", "--slots", "1")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     async with open_stream(fleet, max_tokens=600) as response:
         async with fleet.session.post(
             fleet.url("entry-1", "/v1/chat/completions"),
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -19,7 +19,7 @@
     """
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     await fleet.add_endpoint("chat-1", "engine", "chat")
-    await fleet.until_serving("chat-1")
+    await fleet.wait_until_serving("chat-1")
     raised = copy.deepcopy(bundle)
     raised["workspaces"]["counter"]["share"] = 9
     path = fleet.write_bundle(raised, "raised")
@@ -29,13 +29,15 @@
     assert await fleet.roll_out(raised) == 2
     old = fleet.write_bundle(bundle, "old")
     refused = await fleet.ctl(
-        "propose", str(old), *fleet.signing(AUTHOR), code=4
+        "propose", str(old), *fleet.signing_options(AUTHOR), code=4
     )
     assert "restore 1" in refused
-    restored = await fleet.ctl_json("restore", "1", *fleet.signing(AUTHOR))
+    restored = await fleet.ctl_json(
+        "restore", "1", *fleet.signing_options(AUTHOR)
+    )
     change = restored["change_id"]
-    await fleet.ctl("approve", change, *fleet.signing(APPROVER))
-    await fleet.ctl("roll", change, *fleet.signing(AUTHOR))
+    await fleet.ctl("approve", change, *fleet.signing_options(APPROVER))
+    await fleet.ctl("roll", change, *fleet.signing_options(AUTHOR))
     then = await fleet.ctl_json("audit", "--at", before)
     assert then["version"] == 1
     now = datetime.datetime.now(datetime.UTC).isoformat()
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -5,7 +5,7 @@
 
 from callers import chat
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 
 ENGINES = [f"chat-{n}" for n in range(1, 6)]
 
@@ -24,7 +24,7 @@
         await fleet.add_endpoint(
             name, "engine", "chat", "--slots", "4", "--token-seconds", "0.02"
         )
-    await fleet.until_serving(*ENGINES)
+    await fleet.wait_until_serving(*ENGINES)
     convicted = asyncio.Event()
     innocent = []
 
@@ -50,7 +50,7 @@
             assert answer.status != 200
             return answer if "request_quarantined" in answer.text else None
 
-        answer = await until(refused, "the request to be convicted")
+        answer = await wait_until(refused, "the request to be convicted")
         assert answer.outcome == "not-run"
         assert "Retry-After" in answer.headers
         convicted.set()
@@ -63,11 +63,11 @@
 
     await fleet.children["entry-1"].kill()
     await fleet.restart("entry-1")
-    await fleet.until_ready(fleet.entries["entry-1"])
+    await fleet.wait_until_ready(fleet.entries["entry-1"])
 
     async def refused_there():
         answer = await chat(fleet, "entry-1", crash=True)
         return "request_quarantined" in answer.text
 
-    assert await until(refused_there, "the restarted entry to refuse it")
+    assert await wait_until(refused_there, "the restarted entry to refuse it")
     assert len([n for n in ENGINES if not fleet.children[n].is_running]) == 2
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -5,7 +5,7 @@
 import pytest
 from callers import call, chat, open_stream, read_rest
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 from marjoramyard.standin.processes import free_address
 from marjoramyard.standin.relay import relay_to
 
@@ -16,7 +16,7 @@
     await start_small_fleet(fleet, bundle, control=1)
     for name in ("chat-1", "chat-2"):
         await fleet.add_endpoint(name, "engine", "chat")
-    await fleet.until_serving("chat-1", "chat-2")
+    await fleet.wait_until_serving("chat-1", "chat-2")
     return fleet
 
 
@@ -38,12 +38,12 @@
     guide = asyncio.ensure_future(
         chat(chat_fleet, content="GUIDE", max_tokens=60)
     )
-    name = await until(lambda: running_on(chat_fleet), "the guide to run")
+    name = await wait_until(lambda: running_on(chat_fleet), "the guide to run")
     agent = chat_fleet.children[f"agent-{name}"]
-    agent.freeze()
+    agent.suspend()
     answer = await guide
     assert (answer.status, answer.outcome) == (200, "complete")
-    agent.thaw()
+    agent.resume()
     answers = await asyncio.gather(
         *(chat(chat_fleet, max_tokens=n) for n in range(1, 12))
     )
@@ -80,7 +80,7 @@
     the whole answer from the other engine.
     """
     slow = asyncio.ensure_future(chat(chat_fleet, max_tokens=50))
-    name = await until(lambda: running_on(chat_fleet), "the chat to run")
+    name = await wait_until(lambda: running_on(chat_fleet), "the chat to run")
     await chat_fleet.children[name].kill()
     answer = await slow
     assert (answer.status, answer.outcome) == (200, "complete")
@@ -103,7 +103,7 @@
     async def cancelled():
         return (await chat_fleet.counters(name))["cancelled"]
 
-    assert await until(cancelled, "the engine to be told")
+    assert await wait_until(cancelled, "the engine to be told")
 
 
 async def test_a_slow_reader_gets_every_byte(chat_fleet):
@@ -125,11 +125,11 @@
     """
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     internal = free_address()
-    fleet.internals["agent-chat-1"] = internal
+    fleet.internal_addresses["agent-chat-1"] = internal
     async with relay_to(internal) as relay:
         await fleet.start_agent("chat-1", advertised=relay.address)
         await fleet.start_endpoint("chat-1", "engine", "chat")
-        await fleet.until_serving("chat-1")
+        await fleet.wait_until_serving("chat-1")
         async with open_stream(fleet, max_tokens=200) as response:
             relay.break_connections()
             first = await response.content.readuntil(b"\n\n")
@@ -188,7 +188,7 @@
 async def test_a_process_without_the_secret_gets_nothing(chat_fleet):
     for address in [
         *chat_fleet.control_hosts.values(),
-        *chat_fleet.internals.values(),
+        *chat_fleet.internal_addresses.values(),
     ]:
         for path in ("/control/v1/query", "/run/v1/attempts", "/grants/v1"):
             async with chat_fleet.session.post(
@@ -234,7 +234,7 @@
     """
     async with open_stream(chat_fleet, max_tokens=200) as response:
         entry = chat_fleet.children["entry-1"]
-        entry.freeze()
+        entry.suspend()
 
         async def engine_goes_on():
             counts = [
@@ -242,8 +242,8 @@
             ]
             return sum(c["served"] for c in counts) == 1
 
-        await until(engine_goes_on, "the engine to end the stream")
-        entry.thaw()
+        await wait_until(engine_goes_on, "the engine to end the stream")
+        entry.resume()
         text, broken = await read_rest(response)
     assert not broken
     assert text.count("delta") == 199
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,6 +1,6 @@
 """The whole path in separate processes."""
 
-from marjoramyard.standin.local_fleet import start_small_fleet, until
+from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 
 
 async def chat(fleet, entry="entry-1", **body):
@@ -18,7 +18,7 @@
     await start_small_fleet(fleet, bundle)
     await fleet.add_endpoint("chat-1", "engine", "chat")
     await fleet.add_endpoint("shop-1", "plain", "shop")
-    await fleet.until_serving("chat-1", "shop-1")
+    await fleet.wait_until_serving("chat-1", "shop-1")
 
     status, text = await chat(fleet, stream=True, max_tokens=4)
     assert status == 200
@@ -33,7 +33,7 @@
         assert response.headers["X-Marjoramyard-Outcome"] == "complete"
 
     await fleet.add_endpoint("chat-2", "engine", "chat")
-    await fleet.until_serving("chat-2")
+    await fleet.wait_until_serving("chat-2")
     address = fleet.endpoint_addresses["chat-1"]
     async with fleet.session.post(f"http://{address}/admin/leave"):
         pass
@@ -50,4 +50,4 @@
             r["endpoint"] == "chat-1" and r["state"] == "leaving" for r in rows
         )
 
-    assert await until(is_gone, "the directory to say that chat-1 leaves")
+    assert await wait_until(is_gone, "the directory to say that chat-1 leaves")
