--- a/bench/fleet_load.py
+++ b/bench/fleet_load.py
@@ -1,8 +1,9 @@
-"""Both deployments at today's size, in processes, under load.
+"""Load test of both example deployments in separate processes.
 
-`.venv/bin/python bench/fleet_load.py` prints the three measures (fairness
-gap, utilisation, control traffic) and the counter's waits, with a flood and
-an engine lost in the middle, and without, and writes bench/out/fleet_load.json.
+`.venv/bin/python bench/fleet_load.py [DEPLOYMENT ...]` measures the fairness
+gap, utilisation, control traffic and the probe workspace's time to first
+token: once with one overloading workspace and an engine killed half-way, and
+once without. It writes bench/out/fleet_load.json.
 """
 
 import asyncio
@@ -17,8 +18,9 @@
 from marjoramyard.standin.load import Load, LoadPlan
 from marjoramyard.standin.local_fleet import local_fleet, start_small_fleet
 
-SECONDS = 40.0
+LOAD_SECONDS = 40.0
 TOKEN_SECONDS = 0.04
+# By name: service, engines, probe and overloading workspace, entries.
 DEPLOYMENTS = {
     "teranga": ("assistant", 5, "counter-thies", "trip-guides", 3),
     "luzaberta": ("quotes", 10, "vila-real", "web-quotes", 3),
@@ -26,7 +28,7 @@
 
 
 def metric(page: str, name: str, *labels: str) -> float:
-    """Returns the sum of a metric's samples that carry the labels."""
+    """Returns the sum of a metric's samples with the given labels."""
     total = 0.0
     for line in page.splitlines():
         if re.match(rf"marjoramyard_{name}(_total)?[{{ ]", line):
@@ -36,16 +38,16 @@
 
 
 async def control_bytes(fleet) -> dict[str, float]:
-    """Returns each router's control bytes so far."""
-    found = {}
+    """Returns the control bytes of each router so far."""
+    totals = {}
     for name, address in fleet.internal_addresses.items():
         page = await fleet.metrics_page(address)
-        found[name] = metric(page, "control_bytes")
-    return found
+        totals[name] = metric(page, "control_bytes")
+    return totals
 
 
 async def slot_seconds(fleet, engines) -> tuple[float, float]:
-    """Returns busy and idle-while-waiting slot seconds of all agents."""
+    """Returns the slot seconds of all agents, busy and idle while queued."""
     busy = idle = 0.0
     for name in engines:
         page = await fleet.metrics_page(
@@ -56,15 +58,15 @@
     return busy, idle
 
 
-async def lose_engine(fleet, name: str) -> None:
-    """Kills an engine in the middle of the load."""
-    await asyncio.sleep(SECONDS / 2)
+async def kill_engine(fleet, name: str) -> None:
+    """Kills an engine half-way through the load."""
+    await asyncio.sleep(LOAD_SECONDS / 2)
     await fleet.children[name].kill()
 
 
-async def run_one(deployment: str, flood: bool) -> dict:
-    """Runs one load and returns its row."""
-    service, count, counter, flooder, entries = DEPLOYMENTS[deployment]
+async def run_one(deployment: str, overload: bool) -> dict:
+    """Runs one load and returns its measurements."""
+    service, count, probe, overloading, entries = DEPLOYMENTS[deployment]
     text = (ROOT / f"examples/{deployment}/bundle.yaml").read_text()
     bundle = yaml.safe_load(text)
     bundle = copy.deepcopy(bundle)
@@ -82,48 +84,52 @@
         )
         await fleet.wait_until_serving(*engines)
         plan = LoadPlan(
-            service, names, counter, flooder if flood else "", seconds=SECONDS
+            service,
+            names,
+            probe,
+            overloading if overload else "",
+            seconds=LOAD_SECONDS,
         )
         before, started = await control_bytes(fleet), time.monotonic()
         killer = asyncio.ensure_future(
-            lose_engine(fleet, engines[0]) if flood else asyncio.sleep(0)
+            kill_engine(fleet, engines[0]) if overload else asyncio.sleep(0)
         )
         result = await Load(fleet, plan, shares).run()
         await killer
-        passed = time.monotonic() - started
+        elapsed = time.monotonic() - started
         after = await control_bytes(fleet)
         busy, idle = await slot_seconds(fleet, engines)
-        rates = {n: (after[n] - before[n]) / passed for n in after}
-    entries_rates = [v for n, v in rates.items() if n.startswith("entry")]
+        rates = {n: (after[n] - before[n]) / elapsed for n in after}
+    entry_rates = [v for n, v in rates.items() if n.startswith("entry")]
     agent_rates = [v for n, v in rates.items() if n.startswith("agent")]
     return {
         "worst_gap": max(result.gaps),
         "warm_gap": max(result.gaps[len(result.gaps) // 4 :]),
         "utilisation": busy / (busy + idle),
-        "wait_p50": percentile(result.waits, 0.5),
-        "wait_p95": percentile(result.waits, 0.95),
-        "entry_bytes": max(entries_rates),
+        "wait_p50": percentile(result.first_token_seconds, 0.5),
+        "wait_p95": percentile(result.first_token_seconds, 0.95),
+        "entry_bytes": max(entry_rates),
         "agent_bytes": max(agent_rates),
-        "answered": result.answered,
+        "answered": result.completed,
         "failures": result.failures,
         "tokens": sum(result.served.values()),
-        "bound": count * 8 * plan.most_tokens / min(shares.values()),
+        "bound": count * 8 * plan.max_tokens / min(shares.values()),
     }
 
 
 def main() -> None:
-    """Runs the chosen deployments, or both."""
+    """Measures the named deployments, or both."""
     out = {}
     print(
-        "deployment flood  worst  warm   util   p50 s  p95 s  "
-        "entry B/s  agent B/s  answers  failures"
+        "deployment overload  worst  warm   util   p50 s  p95 s  "
+        "entry B/s  agent B/s  responses  failures"
     )
     for deployment in sys.argv[1:] or DEPLOYMENTS:
-        for flood in (True, False):
-            row = asyncio.run(run_one(deployment, flood))
-            out[f"{deployment} {'flood' if flood else 'calm'}"] = row
+        for overload in (True, False):
+            row = asyncio.run(run_one(deployment, overload))
+            out[f"{deployment} {'flood' if overload else 'calm'}"] = row
             print(
-                f"{deployment:<10} {'yes' if flood else 'no':<5} "
+                f"{deployment:<10} {'yes' if overload else 'no':<8} "
                 f"{row['worst_gap']:6.0f} {row['warm_gap']:5.0f} "
                 f"{row['utilisation']:7.4f} {row['wait_p50']:6.3f} "
                 f"{row['wait_p95']:6.3f} {row['entry_bytes']:10.0f} "
--- a/packages/standin/src/marjoramyard/standin/__init__.py
+++ b/packages/standin/src/marjoramyard/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the fleet serves, a launcher and a load tool."""
+"""Test back ends, a launcher for local fleets and a load generator."""
--- a/packages/standin/src/marjoramyard/standin/announced_endpoint.py
+++ b/packages/standin/src/marjoramyard/standin/announced_endpoint.py
@@ -1,4 +1,4 @@
-"""What every stand-in does: announce itself, take orders, count calls."""
+"""Base class of the test back ends: announcements, orders, call counters."""
 
 import asyncio
 import os
@@ -12,14 +12,14 @@
 from marjoramyard.fleet.messages import Announcement
 from marjoramyard.kernel.ids import new_incarnation
 
-ANNOUNCE_SECONDS = 1.0
+ANNOUNCE_INTERVAL_SECONDS = 1.0
 
 
 class AnnouncedEndpoint:
-    """An endpoint that announces itself to the agent beside it.
+    """An HTTP endpoint that announces itself to the agent on its host.
 
     Attributes:
-        checks_fencing: Refuses orders with an old fencing number.
+        checks_fencing: Whether orders with a stale fencing number are refused.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.calls: list[str] = []
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the pages that every stand-in has."""
+        """Returns the routes that all test back ends share."""
         return [
             web.get("/health", self.on_health),
             web.post("/admin/orders", self.on_order),
@@ -53,29 +53,29 @@
         ]
 
     def counters(self) -> dict:
-        """Returns what tests ask."""
+        """Returns the values served at /admin/counters."""
         return {
             "calls": self.calls,
             "orders": [order.argument for order in self.orders],
         }
 
-    def note_call(self, request: web.Request) -> None:
-        """Notes a call by its idempotency key or its path."""
+    def record_call(self, request: web.Request) -> None:
+        """Records a call under its idempotency key, or else its path."""
         self.calls.append(
             request.headers.get("Idempotency-Key", request.path_qs)
         )
 
     async def crash(self) -> None:
-        """Ends this process as a fault would."""
+        """Kills this process with SIGKILL to simulate a crash."""
         os.kill(os.getpid(), signal.SIGKILL)
         await asyncio.Event().wait()
 
     async def on_health(self, _: web.Request) -> web.Response:
-        """Says that the endpoint lives."""
+        """Serves the liveness check."""
         return web.Response(text="ok\n")
 
     async def on_order(self, request: web.Request) -> web.Response:
-        """Follows an order; some stand-ins refuse an old number."""
+        """Records an order, or refuses it with 409 if its number is stale."""
         order = msgspec.json.decode(await request.read(), type=Order)
         if self.checks_fencing and order.number < self.newest_order:
             return web.Response(status=409, text="old fencing number\n")
@@ -84,18 +84,18 @@
         return web.Response(text="done\n")
 
     async def on_leave(self, _: web.Request) -> web.Response:
-        """Starts to leave."""
+        """Enters the leaving state and announces it at once."""
         self.state = "leaving"
         async with aiohttp.ClientSession() as session:
             await self._announce_once(session)
         return web.Response(text="leaving\n")
 
     async def on_counters(self, _: web.Request) -> web.Response:
-        """Returns the counters."""
+        """Serves the counters as JSON."""
         return web.json_response(self.counters())
 
     async def _announce_once(self, session: aiohttp.ClientSession) -> None:
-        word = Announcement(
+        announcement = Announcement(
             self.name,
             self.incarnation,
             self.address,
@@ -106,23 +106,24 @@
         )
         try:
             async with session.post(
-                f"http://{self.agent}/announce", data=msgspec.json.encode(word)
+                f"http://{self.agent}/announce",
+                data=msgspec.json.encode(announcement),
             ) as response:
                 await response.read()
         except (aiohttp.ClientError, OSError):
-            # The agent may not be up yet; the next announcement tells it.
+            # The agent may not be listening yet; the next interval retries.
             pass
 
     async def announce_forever(self) -> None:
-        """Announces until cancelled."""
+        """Announces the endpoint periodically until cancelled."""
         timeout = aiohttp.ClientTimeout(total=2.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 await self._announce_once(session)
-                await asyncio.sleep(ANNOUNCE_SECONDS)
+                await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
     async def serve(self) -> None:
-        """Serves and announces until cancelled."""
+        """Serves requests and announces the endpoint until cancelled."""
         app = web.Application(client_max_size=64 << 20)
         app.add_routes(self.routes())
         runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
--- a/packages/standin/src/marjoramyard/standin/booking_service.py
+++ b/packages/standin/src/marjoramyard/standin/booking_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: stock look-ups, bookings, holds."""
+"""Test back end for non-engine services: stock look-ups and bookings."""
 
 import asyncio
 import os
@@ -9,11 +9,12 @@
 
 
 class BookingService(AnnouncedEndpoint):
-    """Counts what it does, so that a test sees anything done twice.
+    """Records each booking, so that tests can detect duplicates.
 
     Attributes:
-        journal: A file that gets a line for each booking, before it is
-            answered: what was done stays known when the process is killed.
+        journal: Path of a file to which the key of each booking is appended
+            and synced before the response, so that bookings are known after
+            a crash; "" for none.
     """
 
     def __init__(self, call_seconds: float, journal: str = "", **kwargs):
@@ -23,7 +24,7 @@
         self.bookings: list[str] = []
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the service."""
+        """Returns the routes of the service."""
         return [
             web.get("/stock/{item}", self.on_stock),
             web.post("/bookings", self.on_booking),
@@ -31,30 +32,30 @@
         ]
 
     def counters(self) -> dict:
-        """Returns what tests ask."""
+        """Returns the values served at /admin/counters."""
         return {**super().counters(), "bookings": self.bookings}
 
     async def on_stock(self, request: web.Request) -> web.Response:
-        """Looks up stock; may be repeated."""
-        self.note_call(request)
+        """Looks up stock (idempotent)."""
+        self.record_call(request)
         await asyncio.sleep(self.call_seconds)
         return web.json_response(
             {"item": request.match_info["item"], "in_stock": 7}
         )
 
     async def on_booking(self, request: web.Request) -> web.Response:
-        """Books; must land once."""
+        """Creates a booking (not idempotent)."""
         await request.read()
         key = request.headers.get("Idempotency-Key", "")
-        self.note_call(request)
+        self.record_call(request)
         self.bookings.append(key)
-        self._journal(key)
+        self._append_to_journal(key)
         await asyncio.sleep(self.call_seconds)
         return web.json_response(
             {"booking": len(self.bookings), "key": key}, status=201
         )
 
-    def _journal(self, key: str) -> None:
+    def _append_to_journal(self, key: str) -> None:
         if not self.journal:
             return
         with open(self.journal, "a", encoding="utf-8") as file:
--- a/packages/standin/src/marjoramyard/standin/cmd/__init__.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines of the stand-ins."""
+"""Commands: a demo, a test endpoint and placement experiments."""
--- a/packages/standin/src/marjoramyard/standin/cmd/demo.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/demo.py
@@ -1,4 +1,4 @@
-"""The main job on one machine: `python -m marjoramyard.standin.cmd.demo`."""
+"""Demo fleet on loopback: `python -m marjoramyard.standin.cmd.demo`."""
 
 import asyncio
 import signal
@@ -57,15 +57,15 @@
 
 
 def _show_hints(fleet: LocalFleet) -> None:
-    hosts = " ".join(f"--control {a}" for a in fleet.control_hosts.values())
+    options = " ".join(f"--control {a}" for a in fleet.control_hosts.values())
     chat = '{"model":"assistant","messages":[{"content":"Which boots?"}]}'
-    click.echo("\nThe fleet goes on serving until you press Ctrl-C. Try:")
+    click.echo("\nThe fleet keeps running until you press Ctrl-C. Try:")
     click.echo(
         f"  curl -s -H 'Authorization: Bearer {api_key(WORKSPACE)}' \\\n"
         f"    -d '{chat}' {fleet.url('entry-1', '/v1/chat/completions')}"
     )
     click.echo(
-        f"  .venv/bin/marjoramctl {hosts} \\\n"
+        f"  .venv/bin/marjoramctl {options} \\\n"
         f"    --secret-file {fleet.secret_file} endpoints"
     )
 
@@ -74,8 +74,8 @@
     bundle = yaml.safe_load(bundle_path.read_text(encoding="utf-8"))
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop.set)
     async with local_fleet() as fleet:
         click.echo("Starting 3 control hosts, 2 entries and 3 endpoints ...")
         await _start(fleet, bundle)
@@ -84,7 +84,7 @@
             await _show_booking(fleet)
         except aiohttp.ClientError as error:
             raise click.ClickException(
-                f"the fleet did not answer: {error}"
+                f"request to the fleet failed: {error}"
             ) from error
         _show_hints(fleet)
         if not once:
@@ -97,9 +97,9 @@
     type=click.Path(path_type=Path, exists=True),
     default=Path("examples/teranga/bundle.yaml"),
 )
-@click.option("--once", is_flag=True, help="Ends after the first requests.")
+@click.option("--once", is_flag=True, help="Exit after the example requests.")
 def main(bundle: Path, once: bool) -> None:
-    """Runs a small fleet on loopback and serves real requests with it."""
+    """Runs a small fleet on loopback and sends example requests to it."""
     asyncio.run(_demo(bundle, once))
 
 
--- a/packages/standin/src/marjoramyard/standin/cmd/endpoint.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/endpoint.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in: `python -m marjoramyard.standin.cmd.endpoint`."""
+"""Runs a test endpoint: `python -m marjoramyard.standin.cmd.endpoint`."""
 
 import asyncio
 import signal
@@ -13,8 +13,8 @@
 async def _serve(endpoint: AnnouncedEndpoint) -> None:
     task = asyncio.ensure_future(endpoint.serve())
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, task.cancel)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, task.cancel)
     try:
         await task
     except asyncio.CancelledError:
@@ -25,8 +25,10 @@
 @click.argument("kind", type=click.Choice(["engine", "plain"]))
 @click.option("--name", required=True)
 @click.option("--service", required=True)
-@click.option("--listen", required=True, help="IP:PORT to serve on.")
-@click.option("--agent", required=True, help="Its agent's endpoint_listen.")
+@click.option("--listen", required=True, help="IP:PORT to listen on.")
+@click.option(
+    "--agent", required=True, help="The endpoint_listen address of its agent."
+)
 @click.option("--slots", default=8, show_default=True)
 @click.option("--checks-fencing", is_flag=True)
 @click.option("--token-seconds", default=0.01, show_default=True)
@@ -46,7 +48,7 @@
     call_seconds: float,
     journal: str,
 ) -> None:
-    """Serves a stand-in endpoint until it is interrupted."""
+    """Serves a test endpoint until SIGTERM or SIGINT."""
     common = {
         "name": name,
         "service": service,
--- a/packages/standin/src/marjoramyard/standin/engine.py
+++ b/packages/standin/src/marjoramyard/standin/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine: the OpenAI-style chat API, plain and SSE."""
+"""Test model engine with an OpenAI-style chat API, JSON and SSE."""
 
 import asyncio
 import secrets
@@ -9,7 +9,9 @@
 
 from marjoramyard.standin.announced_endpoint import AnnouncedEndpoint
 
-_WORDS = "snow boots fit well when the heel stays down and toes move".split()
+_RESPONSE_WORDS = (
+    "snow boots fit well when the heel stays down and toes move".split()
+)
 _BYTES_PER_TOKEN = 4
 
 
@@ -21,14 +23,15 @@
 
 
 class ChatRequest(msgspec.Struct):
-    """What the stand-in reads of a chat request.
+    """The supported fields of a chat request, with fault injection.
 
     Attributes:
-        max_tokens: How many tokens it answers with.
-        stall_after: Falls silent after so many tokens, to be tested with.
-        cut_after: Breaks the connection after so many tokens.
-        resumable: Gives events ids and the stream a place to resume from.
-        crash: The process dies while it runs this.
+        max_tokens: Number of tokens in the response.
+        stall_after: Stops sending after this many tokens; -1 for never.
+        cut_after: Closes the connection after this many tokens; -1 for never.
+        resumable: Sends event ids and a URL from which the stream can be
+            resumed.
+        crash: Kills the engine process when it receives the request.
     """
 
     messages: list[ChatMessage] = []
@@ -42,7 +45,12 @@
 
 
 class ChatEngine(AnnouncedEndpoint):
-    """Batches whatever arrives; the more run, the slower each token."""
+    """Runs all requests at once, each slowed down by the others.
+
+    Attributes:
+        token_seconds: Seconds per token of a request that runs alone.
+        slowdown: Share by which each further request lengthens a token.
+    """
 
     def __init__(self, token_seconds: float, slowdown: float, **kwargs):
         super().__init__(**kwargs)
@@ -54,7 +62,7 @@
         self.streams: dict[str, ChatRequest] = {}
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the engine's service."""
+        """Returns the routes of the engine."""
         return [
             web.post("/v1/chat/completions", self.on_chat),
             web.get("/v1/streams/{stream}", self.on_resume),
@@ -62,7 +70,7 @@
         ]
 
     def counters(self) -> dict:
-        """Returns what tests ask."""
+        """Returns the values served at /admin/counters."""
         return {
             **super().counters(),
             "served": self.served,
@@ -71,17 +79,17 @@
         }
 
     async def on_chat(self, request: web.Request) -> web.StreamResponse:
-        """Answers a chat."""
+        """Serves a chat completion."""
         raw = await request.read()
         chat = msgspec.json.decode(raw, type=ChatRequest)
-        self.note_call(request)
+        self.record_call(request)
         if chat.crash:
             await self.crash()
         self.running += 1
         try:
             if chat.stream:
                 return await self._stream(request, chat, len(raw))
-            return await self._plain(chat, len(raw))
+            return await self._complete(chat, len(raw))
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -91,21 +99,23 @@
     async def _tokens(
         self, chat: ChatRequest, first: int = 0
     ) -> AsyncIterator[str]:
-        for place in range(first, chat.max_tokens):
-            if place == chat.stall_after:
+        for index in range(first, chat.max_tokens):
+            if index == chat.stall_after:
                 await asyncio.Event().wait()
             load = 1.0 + self.slowdown * max(0, self.running - 1)
             await asyncio.sleep(self.token_seconds * load)
-            yield _WORDS[place % len(_WORDS)]
+            yield _RESPONSE_WORDS[index % len(_RESPONSE_WORDS)]
 
     @staticmethod
-    def _usage(chat: ChatRequest, size: int) -> dict:
+    def _usage(chat: ChatRequest, request_bytes: int) -> dict:
         return {
-            "prompt_tokens": size // _BYTES_PER_TOKEN,
+            "prompt_tokens": request_bytes // _BYTES_PER_TOKEN,
             "completion_tokens": chat.max_tokens,
         }
 
-    async def _plain(self, chat: ChatRequest, size: int) -> web.Response:
+    async def _complete(
+        self, chat: ChatRequest, request_bytes: int
+    ) -> web.Response:
         words = [word async for word in self._tokens(chat)]
         self.served += 1
         if chat.cut_after >= 0:
@@ -117,12 +127,12 @@
                 "object": "chat.completion",
                 "model": chat.model,
                 "choices": [{"index": 0, "message": message}],
-                "usage": self._usage(chat, size),
+                "usage": self._usage(chat, request_bytes),
             }
         )
 
     async def _stream(
-        self, request: web.Request, chat: ChatRequest, size: int
+        self, request: web.Request, chat: ChatRequest, request_bytes: int
     ) -> web.StreamResponse:
         response = web.StreamResponse()
         response.content_type = "text/event-stream"
@@ -130,32 +140,34 @@
             name = secrets.token_hex(6)
             self.streams[name] = chat
             response.headers["Content-Location"] = f"/v1/streams/{name}"
-        return await self._write_events(request, response, chat, size, 0)
+        return await self._write_events(
+            request, response, chat, request_bytes, 0
+        )
 
     async def on_resume(self, request: web.Request) -> web.StreamResponse:
-        """Goes on with a stream behind the last event that arrived."""
+        """Resumes a stream after the event named by Last-Event-ID."""
         chat = self.streams.get(request.match_info["stream"])
         if chat is None:
             raise web.HTTPNotFound
         first = int(request.headers.get("Last-Event-ID", "-1")) + 1
         response = web.StreamResponse()
         response.content_type = "text/event-stream"
-        whole = msgspec.structs.replace(chat, cut_after=-1)
-        return await self._write_events(request, response, whole, 0, first)
+        uncut = msgspec.structs.replace(chat, cut_after=-1)
+        return await self._write_events(request, response, uncut, 0, first)
 
     async def _write_events(
         self,
         request: web.Request,
         response: web.StreamResponse,
         chat: ChatRequest,
-        size: int,
+        request_bytes: int,
         first: int,
     ) -> web.StreamResponse:
         await response.prepare(request)
-        place = first
+        index = first
         async for word in self._tokens(chat, first):
-            if place == chat.cut_after:
-                # A part of the next event is already on its way.
+            if index == chat.cut_after:
+                # Cuts within an event, not between two.
                 await response.write(b"data: {")
                 await asyncio.sleep(0.01)
                 request.transport.close()
@@ -163,10 +175,10 @@
             delta = {"choices": [{"index": 0, "delta": {"content": word}}]}
             event = b"data: " + msgspec.json.encode(delta) + b"\n\n"
             if chat.resumable:
-                event = b"id: %d\n" % place + event
+                event = b"id: %d\n" % index + event
             await response.write(event)
-            place += 1
-        usage = {"choices": [], "usage": self._usage(chat, size)}
+            index += 1
+        usage = {"choices": [], "usage": self._usage(chat, request_bytes)}
         await response.write(b"data: " + msgspec.json.encode(usage) + b"\n\n")
         await response.write(b"data: [DONE]\n\n")
         await response.write_eof()
@@ -175,10 +187,10 @@
 
 
 class TruncatedResponse(web.Response):
-    """Promises more bytes than it sends."""
+    """A response that ends before its Content-Length is reached."""
 
     async def prepare(self, request: web.BaseRequest) -> None:
-        """Sends a part of the body and breaks off."""
+        """Sends part of the body and closes the connection."""
         request.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
             b'Content-Length: 100\r\n\r\n{"choices":['
@@ -186,4 +198,4 @@
         request.transport.close()
 
     async def write_eof(self, data: bytes = b"") -> None:
-        """Sends nothing more."""
+        """Sends nothing, as the connection is closed."""
--- a/packages/standin/src/marjoramyard/standin/load.py
+++ b/packages/standin/src/marjoramyard/standin/load.py
@@ -1,4 +1,4 @@
-"""A load of many workspaces: a few large, one that floods, a counter."""
+"""Load generator: backlogged workspaces and one probe workspace."""
 
 import asyncio
 import random
@@ -10,56 +10,62 @@
 from marjoramyard.standin.local_fleet import LocalFleet
 
 _TAIL_SHAPE = 1.2
+"""Shape of the Pareto distribution of response lengths."""
 
 
 @dataclass
 class LoadPlan:
-    """What the callers do.
+    """Parameters of a load.
 
     Attributes:
-        model: The model that chats name.
-        counter: The small workspace whose waits are measured.
-        flooder: The workspace that floods; "" for none.
-        deep: Requests that the flooder keeps open at once.
-        wide: Requests that each other workspace keeps open at once.
-        least_tokens: The least cost of a chat.
-        most_tokens: The largest.
-        seconds: How long the load lasts.
+        model: The model that the chats request.
+        workspaces: All workspaces that send requests.
+        probe_workspace: Sends one short chat at a time, whose time to first
+            token is measured.
+        overloading_workspace: The workspace that sends far more than its
+            share; "" for none.
+        overload_concurrency: Concurrent requests of that workspace.
+        concurrency: Concurrent requests of each other workspace.
+        min_tokens: Smallest response length.
+        max_tokens: Largest response length.
+        seconds: Duration of the load.
+        seed: Seed of the random number generator.
     """
 
     model: str
     workspaces: list[str]
-    counter: str
-    flooder: str = ""
-    deep: int = 100
-    wide: int = 16
-    least_tokens: int = 10
-    most_tokens: int = 400
+    probe_workspace: str
+    overloading_workspace: str = ""
+    overload_concurrency: int = 100
+    concurrency: int = 16
+    min_tokens: int = 10
+    max_tokens: int = 400
     seconds: float = 30.0
     seed: int = 3
 
 
 @dataclass
 class LoadResult:
-    """What came of it.
+    """Measurements of a load.
 
     Attributes:
-        served: Tokens that each workspace got.
-        gaps: The gap between backlogged workspaces' service per share, at
-            each sample.
-        waits: Seconds to the counter's first token.
-        failures: Answers other than whole ones, by status.
+        served: Tokens received by each workspace.
+        gaps: Samples of the largest difference in tokens per share between
+            two backlogged workspaces.
+        first_token_seconds: Times to first token of the probe workspace.
+        failures: Incomplete responses, by status or exception.
+        completed: Number of complete responses.
     """
 
     served: dict[str, float] = field(default_factory=dict)
     gaps: list[float] = field(default_factory=list)
-    waits: list[float] = field(default_factory=list)
+    first_token_seconds: list[float] = field(default_factory=list)
     failures: dict[str, int] = field(default_factory=dict)
-    answered: int = 0
+    completed: int = 0
 
 
 class Load:
-    """Callers that keep their workspaces backlogged."""
+    """Sends chats so that all workspaces but the probe stay backlogged."""
 
     def __init__(
         self, fleet: LocalFleet, plan: LoadPlan, shares: dict[str, float]
@@ -71,20 +77,20 @@
         self.result = LoadResult()
         self.until = 0.0
 
-    def tokens(self) -> int:
-        """Draws a cost with a heavy tail."""
-        drawn = self.plan.least_tokens * self.rng.paretovariate(_TAIL_SHAPE)
-        return int(min(self.plan.most_tokens, drawn))
+    def draw_tokens(self) -> int:
+        """Draws a response length from a heavy-tailed distribution."""
+        drawn = self.plan.min_tokens * self.rng.paretovariate(_TAIL_SHAPE)
+        return int(min(self.plan.max_tokens, drawn))
 
     def entry_for(self, workspace: str) -> str:
-        """Picks an entry; each workspace uses one more than the others."""
+        """Picks an entry; each workspace prefers one of them."""
         names = sorted(self.fleet.entries)
         if self.rng.random() < 0.7:
             return names[sum(workspace.encode()) % len(names)]
         return self.rng.choice(names)
 
     async def chat(self, workspace: str, tokens: int) -> float | None:
-        """Streams one chat; returns the seconds to its first token."""
+        """Streams one chat; returns the seconds to its first token, if any."""
         started = time.monotonic()
         first = None
         ended = False
@@ -107,46 +113,52 @@
                         first = first or time.monotonic() - started
                         result.served[workspace] += 1
                     ended = ended or b"[DONE]" in line
-                key = "" if ended else str(response.status)
+                failure = "" if ended else str(response.status)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            key = type(error).__name__
-        if key:
-            result.failures[key] = result.failures.get(key, 0) + 1
+            failure = type(error).__name__
+        if failure:
+            result.failures[failure] = result.failures.get(failure, 0) + 1
             await asyncio.sleep(0.5)
-        result.answered += not key
+        result.completed += not failure
         return first
 
-    async def backlogged(self, workspace: str) -> None:
-        """Sends one chat after the other."""
+    async def keep_backlogged(self, workspace: str) -> None:
+        """Sends chats one after the other until the load ends."""
         while time.monotonic() < self.until:
-            await self.chat(workspace, self.tokens())
+            await self.chat(workspace, self.draw_tokens())
 
-    async def counter(self) -> None:
-        """Sends a short chat now and then."""
+    async def probe(self) -> None:
+        """Sends short chats with pauses and measures their first tokens."""
         while time.monotonic() < self.until:
-            first = await self.chat(self.plan.counter, self.plan.least_tokens)
+            first = await self.chat(
+                self.plan.probe_workspace, self.plan.min_tokens
+            )
             if first is not None:
-                self.result.waits.append(first)
+                self.result.first_token_seconds.append(first)
             await asyncio.sleep(self.rng.uniform(0.2, 0.6))
 
-    async def sample(self, names: list[str]) -> None:
-        """Notes the gap between backlogged workspaces."""
+    async def sample_gaps(self, names: list[str]) -> None:
+        """Samples the gap in service per share between workspaces."""
         while time.monotonic() < self.until:
             await asyncio.sleep(0.25)
-            levels = [
+            service = [
                 self.result.served[name] / self.shares[name] for name in names
             ]
-            self.result.gaps.append(max(levels) - min(levels))
+            self.result.gaps.append(max(service) - min(service))
 
     async def run(self) -> LoadResult:
-        """Runs the plan."""
+        """Runs the load to its end."""
         plan = self.plan
         self.result.served = dict.fromkeys(plan.workspaces, 0.0)
         self.until = time.monotonic() + plan.seconds
-        busy = [n for n in plan.workspaces if n != plan.counter]
-        work = [self.counter(), self.sample(busy)]
-        for name in busy:
-            count = plan.deep if name == plan.flooder else plan.wide
-            work += [self.backlogged(name) for _ in range(count)]
+        backlogged = [n for n in plan.workspaces if n != plan.probe_workspace]
+        work = [self.probe(), self.sample_gaps(backlogged)]
+        for name in backlogged:
+            count = (
+                plan.overload_concurrency
+                if name == plan.overloading_workspace
+                else plan.concurrency
+            )
+            work += [self.keep_backlogged(name) for _ in range(count)]
         await asyncio.gather(*work)
         return self.result
--- a/packages/standin/src/marjoramyard/standin/local_fleet.py
+++ b/packages/standin/src/marjoramyard/standin/local_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of separate processes on loopback."""
+"""A fleet of separate processes on loopback."""
 
 import asyncio
 import hashlib
@@ -22,20 +22,25 @@
 
 AUTHOR = "awa"
 APPROVER = "bento"
-WAIT_SECONDS = 30.0
-_POLL_SECONDS = 0.05
-_QUERY_SECONDS = 1.0
+WAIT_TIMEOUT_SECONDS = 30.0
+_POLL_INTERVAL_SECONDS = 0.05
+_QUERY_TIMEOUT_SECONDS = 1.0
 
 
 async def wait_until(
     condition: Callable[[], Awaitable[Any]],
     what: str,
-    seconds: float = WAIT_SECONDS,
+    seconds: float = WAIT_TIMEOUT_SECONDS,
 ) -> Any:
-    """Waits for a condition to be true and returns its value.
+    """Polls a condition until its value is true, and returns the value.
+
+    Args:
+        condition: Awaited at each poll.
+        what: What is waited for, for the error message.
+        seconds: The timeout.
 
     Raises:
-        TimeoutError: It did not become true; says what was awaited.
+        TimeoutError: The condition did not become true in time.
     """
     try:
         async with asyncio.timeout(seconds):
@@ -43,27 +48,39 @@
                 value = await condition()
                 if value:
                     return value
-                await asyncio.sleep(_POLL_SECONDS)
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
     except TimeoutError:
         raise TimeoutError(f"waited {seconds:g} s for {what}") from None
 
 
 def api_key(workspace: str) -> str:
-    """Returns the API key that a local fleet gives a workspace."""
+    """Returns the API key of a workspace in a local fleet."""
     return f"key-of-{workspace}"
 
 
-def _is_ready_in(page: str, endpoint: str) -> bool:
+def _lists_endpoint_as_ready(metrics: str, endpoint: str) -> bool:
     return any(
         line.startswith("marjoramyard_known_agents{")
         and f'endpoint="{endpoint}"' in line
         and 'state="ready"' in line
-        for line in page.splitlines()
+        for line in metrics.splitlines()
     )
 
 
 class LocalFleet:
-    """Control hosts, entries, agents and stand-ins, each a process."""
+    """Control hosts, entries, agents and test endpoints, each a process.
+
+    Attributes:
+        folder: Holds settings, logs, keys and data of the processes.
+        children: The processes by name.
+        control_hosts: Addresses of the control hosts by name.
+        entries: Public addresses of the entries by name.
+        internal_addresses: Internal addresses of entries and agents by name.
+        endpoint_addresses: Addresses of the test endpoints by name.
+        announce_addresses: By endpoint, where its agent accepts its
+            announcements.
+        public_keys: Public keys of the operators by name.
+    """
 
     def __init__(self, folder: Path, session: aiohttp.ClientSession):
         self.folder = folder
@@ -78,13 +95,13 @@
 
     @property
     def secret_file(self) -> Path:
-        """The file of the fleet's secret."""
+        """The file that holds the fleet's shared secret."""
         return self.folder / "secret"
 
     # Processes.
 
     async def start_child(self, name: str, command: list[str]) -> ChildProcess:
-        """Starts a process under a name, or again under the same one."""
+        """Starts a process, replacing the one of the same name."""
         log = self.folder / f"{name}.log"
         child = ChildProcess(name, command, log)
         self.children[name] = child
@@ -92,7 +109,7 @@
         return child
 
     async def start_daemon(self, name: str, settings: dict) -> ChildProcess:
-        """Writes settings and starts a daemon with them."""
+        """Writes a settings file and starts a daemon with it."""
         base = {
             "name": name,
             "zone": "zone-a",
@@ -106,21 +123,21 @@
         return await self.start_child(name, command)
 
     async def restart(self, name: str) -> ChildProcess:
-        """Starts a process that ended, with its old settings."""
+        """Starts an exited process again with the same command."""
         return await self.start_child(name, self.children[name].command)
 
     # Control.
 
     async def make_keys(self) -> None:
-        """Makes the secret and two operators' keys."""
+        """Creates the shared secret and the keys of two operators."""
         await self.ctl("key", "secret", str(self.secret_file))
         for who in (AUTHOR, APPROVER):
             path = self.folder / f"{who}.key"
-            printed = await self.ctl("key", "operator", str(path))
-            self.public_keys[who] = printed.strip()
+            public_key = await self.ctl("key", "operator", str(path))
+            self.public_keys[who] = public_key.strip()
 
     async def start_control(self, names: list[str]) -> None:
-        """Starts control hosts and forms their cluster."""
+        """Starts control hosts and bootstraps their cluster."""
         for name in names:
             self.control_hosts[name] = free_address()
         for name in names:
@@ -130,7 +147,7 @@
         await self.ctl("cluster", "init")
 
     async def start_control_host(self, name: str, **more: Any) -> ChildProcess:
-        """Starts one control host."""
+        """Starts one control host; `more` adds or replaces settings."""
         settings = {
             "role": "control",
             "internal": self.control_hosts[name],
@@ -141,10 +158,14 @@
         return await self.start_daemon(name, settings)
 
     async def ctl(self, *arguments: str, code: int = 0) -> str:
-        """Runs marjoramctl; returns its output.
+        """Runs marjoramctl with JSON output.
+
+        Returns:
+            Its standard output, or its standard error if a failure is
+            expected.
 
         Raises:
-            RuntimeError: Its exit code was another than `code`.
+            RuntimeError: The exit code was not `code`.
         """
         command = [str(BINARIES / "marjoramctl")]
         for address in self.control_hosts.values():
@@ -157,18 +178,18 @@
         return output if code == 0 else errors
 
     async def ctl_json(self, *arguments: str) -> Any:
-        """Runs marjoramctl and reads its JSON."""
+        """Runs marjoramctl and decodes its JSON output."""
         return json.loads(await self.ctl(*arguments))
 
     async def query(self, subject: str, argument: str = "") -> Any:
-        """Asks the control hosts a question; None if none answers."""
+        """Queries the control hosts in turn; None if none responds."""
         headers = {
             "Authorization": f"Bearer {self.secret_file.read_text().strip()}"
         }
         body = json.dumps({"subject": subject, "argument": argument})
         for address in self.control_hosts.values():
             try:
-                async with asyncio.timeout(_QUERY_SECONDS):
+                async with asyncio.timeout(_QUERY_TIMEOUT_SECONDS):
                     async with self.session.post(
                         f"http://{address}/control/v1/query",
                         headers=headers,
@@ -181,20 +202,20 @@
         return None
 
     def signing_options(self, who: str) -> list[str]:
-        """Returns the options that make an operator sign."""
+        """Returns the marjoramctl options for signing as an operator."""
         return ["--as", who, "--key", str(self.folder / f"{who}.key")]
 
     def write_bundle(self, bundle: dict, name: str = "bundle") -> Path:
-        """Writes a bundle file with our operators and API keys."""
-        full = json.loads(json.dumps(bundle))
-        full["operators"] = {
+        """Writes a bundle file, adding the fleet's operators and API keys."""
+        document = json.loads(json.dumps(bundle))
+        document["operators"] = {
             who: {"public_key": key} for who, key in self.public_keys.items()
         }
-        for workspace, row in full["workspaces"].items():
+        for workspace, row in document["workspaces"].items():
             key_hash = hashlib.sha256(api_key(workspace).encode())
             row["key_hashes"] = [key_hash.hexdigest()]
         path = self.folder / f"{name}.yaml"
-        path.write_text(yaml.safe_dump(full), encoding="utf-8")
+        path.write_text(yaml.safe_dump(document), encoding="utf-8")
         return path
 
     async def propose(self, bundle: dict, who: str = AUTHOR) -> str:
@@ -212,10 +233,10 @@
         )
         return done["version"]
 
-    # Routers and stand-ins.
+    # Routers and test endpoints.
 
     async def start_entry(self, name: str, **more: Any) -> ChildProcess:
-        """Starts an entry."""
+        """Starts an entry; `more` adds or replaces settings."""
         self.entries.setdefault(name, free_address())
         self.internal_addresses.setdefault(name, free_address())
         settings = {
@@ -227,7 +248,7 @@
         return await self.start_daemon(name, settings)
 
     async def start_agent(self, name: str, **more: Any) -> ChildProcess:
-        """Starts the agent of the endpoint called `name`."""
+        """Starts the agent of an endpoint; `more` adds or replaces settings."""
         agent = f"agent-{name}"
         self.internal_addresses.setdefault(agent, free_address())
         self.announce_addresses.setdefault(name, free_address())
@@ -242,7 +263,7 @@
     async def start_endpoint(
         self, name: str, kind: str, service: str, *options: str
     ) -> ChildProcess:
-        """Starts a stand-in that announces itself to its agent."""
+        """Starts a test endpoint with options of its command."""
         self.endpoint_addresses.setdefault(name, free_address())
         command = [
             str(BINARIES / "python"),
@@ -264,12 +285,12 @@
     async def add_endpoint(
         self, name: str, kind: str, service: str, *options: str
     ) -> None:
-        """Starts a stand-in and the agent beside it."""
+        """Starts a test endpoint and its agent."""
         await self.start_agent(name)
         await self.start_endpoint(name, kind, service, *options)
 
     async def counters(self, endpoint: str) -> dict:
-        """Returns a stand-in's counters."""
+        """Returns the counters of a test endpoint."""
         address = self.endpoint_addresses[endpoint]
         async with self.session.get(
             f"http://{address}/admin/counters"
@@ -279,7 +300,7 @@
     # Conditions.
 
     async def responds_ok(self, address: str, path: str) -> bool:
-        """Returns whether a health page says yes."""
+        """Returns whether a GET request is answered with status 200."""
         try:
             async with self.session.get(f"http://{address}{path}") as response:
                 return response.status == 200
@@ -287,51 +308,64 @@
             return False
 
     async def wait_until_healthy(self, address: str) -> None:
-        """Waits until a process answers."""
+        """Waits until a process responds to its liveness check."""
         await wait_until(
-            lambda: self.responds_ok(address, "/healthz"), f"{address} alive"
+            lambda: self.responds_ok(address, "/healthz"),
+            f"{address} to be alive",
         )
 
     async def wait_until_ready(self, address: str) -> None:
-        """Waits until a process takes work."""
+        """Waits until a process reports that it is ready."""
         await wait_until(
-            lambda: self.responds_ok(address, "/readyz"), f"{address} ready"
+            lambda: self.responds_ok(address, "/readyz"),
+            f"{address} to be ready",
         )
 
     async def wait_until_serving(self, *names: str) -> None:
-        """Waits until endpoints are ready in every entry's directory."""
+        """Waits until all running entries list the endpoints as ready."""
         for entry, address in self.entries.items():
             if not self.children[entry].is_running:
                 continue
             await self.wait_until_ready(address)
 
             async def all_ready(entry: str = entry) -> bool:
-                page = await self.metrics_page(self.internal_addresses[entry])
-                return all(_is_ready_in(page, name) for name in names)
+                metrics = await self.metrics_page(
+                    self.internal_addresses[entry]
+                )
+                return all(
+                    _lists_endpoint_as_ready(metrics, name) for name in names
+                )
 
-            await wait_until(all_ready, f"{names} at {entry}")
+            await wait_until(all_ready, f"{names} to be ready at {entry}")
 
     async def metrics_page(self, address: str) -> str:
-        """Returns a process's metrics, or nothing if it gives none."""
+        """Returns the metrics of a process; "" if it does not respond."""
         try:
-            async with self.session.get(f"http://{address}/metrics") as page:
-                return await page.text()
+            async with self.session.get(
+                f"http://{address}/metrics"
+            ) as response:
+                return await response.text()
         except (aiohttp.ClientError, OSError):
             return ""
 
-    # Callers.
+    # Requests of callers.
 
     def url(self, entry: str, path: str) -> str:
-        """Returns a caller's URL."""
+        """Returns the public URL of a path at an entry."""
         return f"http://{self.entries[entry]}{path}"
 
     def headers(self, workspace: str, **more: str) -> dict[str, str]:
-        """Returns a caller's headers."""
-        named = {name.replace("_", "-"): value for name, value in more.items()}
-        return {"Authorization": f"Bearer {api_key(workspace)}", **named}
+        """Returns request headers that authenticate as a workspace.
+
+        Args:
+            workspace: The workspace whose API key is sent.
+            more: Further headers, with "_" for "-" in their names.
+        """
+        extra = {name.replace("_", "-"): value for name, value in more.items()}
+        return {"Authorization": f"Bearer {api_key(workspace)}", **extra}
 
     async def close(self) -> None:
-        """Ends all our processes."""
+        """Kills all processes of the fleet."""
         running = [c for c in self.children.values() if c.is_running]
         for child in running:
             child.resume()
@@ -340,29 +374,33 @@
 
 @asynccontextmanager
 async def local_fleet(folder: Path | None = None) -> AsyncIterator[LocalFleet]:
-    """Owns a fleet's folder and processes."""
-    made = Path(tempfile.mkdtemp(prefix="marjoramyard-"))
-    place = folder or made
-    place.mkdir(parents=True, exist_ok=True)
+    """Provides a fleet and kills its processes at the end.
+
+    Args:
+        folder: Holds the fleet's files and is kept; by default a temporary
+            folder that is removed.
+    """
+    temporary = Path(tempfile.mkdtemp(prefix="marjoramyard-"))
+    root = folder or temporary
+    root.mkdir(parents=True, exist_ok=True)
     timeout = aiohttp.ClientTimeout(total=300)
-    # The library's own limit of 100 connections would hold callers back
-    # before the fleet sees them.
+    # The default limit of 100 connections would queue requests in the client.
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(
         timeout=timeout, connector=connector
     ) as session:
-        fleet = LocalFleet(place, session)
+        fleet = LocalFleet(root, session)
         try:
             yield fleet
         finally:
             await fleet.close()
-            shutil.rmtree(made, ignore_errors=True)
+            shutil.rmtree(temporary, ignore_errors=True)
 
 
 async def start_small_fleet(
     fleet: LocalFleet, bundle: dict, control: int = 3, entries: int = 2
 ) -> None:
-    """Starts control hosts and entries and puts a bundle in force."""
+    """Starts control hosts and entries and rolls out a bundle."""
     await fleet.make_keys()
     await fleet.start_control([f"control-{n}" for n in range(1, control + 1)])
     for number in range(1, entries + 1):
--- a/packages/standin/src/marjoramyard/standin/processes.py
+++ b/packages/standin/src/marjoramyard/standin/processes.py
@@ -1,4 +1,4 @@
-"""ChildProcess processes of a local fleet: started, signalled, waited for."""
+"""Child processes of a local fleet, and free ports for them."""
 
 import asyncio
 import os
@@ -9,21 +9,19 @@
 from pathlib import Path
 
 BINARIES = Path(sys.executable).parent
-_STOP_SECONDS = 20.0
+_TERMINATE_TIMEOUT_SECONDS = 20.0
 PORTS = range(12_000, 32_000)
-"""Below what Linux uses for outgoing connections (32768 and up)."""
+"""Below the default ephemeral port range of Linux, which starts at 32768."""
 _RANDOM = random.SystemRandom()
-"""Not the module's own: Hypothesis seeds that one, and test processes that
-run side by side would draw the same ports."""
+"""Separate from the global generator, which Hypothesis seeds: parallel test
+processes would otherwise draw the same ports."""
 
 
 def free_address() -> str:
-    """Returns a loopback address that is free, and stays so.
+    """Returns a free loopback address outside the ephemeral port range.
 
-    A port that the system hands out is from the range that outgoing
-    connections use as well. While the process that is to have it starts, or
-    starts again after a kill, any connection can take it; the process then
-    can't listen and ends, and a test waits for it in vain.
+    A port assigned by the kernel could be taken by an outgoing connection
+    while the process that should listen on it starts or restarts.
     """
     while True:
         port = _RANDOM.choice(PORTS)
@@ -36,7 +34,7 @@
 
 
 class ChildProcess:
-    """One process that we started; only its own id is ever signalled."""
+    """A child process whose output is appended to a log file."""
 
     def __init__(
         self,
@@ -52,7 +50,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Starts the process; its output goes to its log."""
+        """Starts the process with its output appended to the log file."""
         with self.log.open("ab") as output:
             self.process = await asyncio.create_subprocess_exec(
                 *self.command,
@@ -64,47 +62,53 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Sends it a signal if it still runs."""
+        """Sends a signal if the process is running."""
         if self.is_running:
             self.process.send_signal(number)
 
     def suspend(self) -> None:
-        """Stops it without its noticing."""
+        """Suspends the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes a suspended process."""
         self.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """Ends it as a crash would."""
+        """Kills the process and waits until it has exited."""
         self.signal(signal.SIGKILL)
         await self.process.wait()
 
-    async def terminate(self, seconds: float = _STOP_SECONDS) -> int:
-        """Asks it to stop and returns its exit code."""
+    async def terminate(
+        self, seconds: float = _TERMINATE_TIMEOUT_SECONDS
+    ) -> int:
+        """Sends SIGTERM and returns the exit code.
+
+        Raises:
+            TimeoutError: The process did not exit within `seconds`.
+        """
         self.signal(signal.SIGTERM)
         async with asyncio.timeout(seconds):
             return await self.process.wait()
 
     def cpu_seconds(self) -> float:
-        """Returns the processor time it has used."""
+        """Returns the CPU time used so far, user and system."""
         stat = Path(f"/proc/{self.pid}/stat").read_text(encoding="ascii")
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def rss_bytes(self) -> int:
-        """Returns its resident memory."""
+        """Returns the resident set size in bytes."""
         statm = Path(f"/proc/{self.pid}/statm").read_text(encoding="ascii")
         return int(statm.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
@@ -112,7 +116,11 @@
 async def run_command(
     command: list[str], seconds: float = 60.0
 ) -> tuple[int, str, str]:
-    """Runs a command to its end; returns exit code, output and errors."""
+    """Runs a command and returns its exit code, stdout and stderr.
+
+    Raises:
+        TimeoutError: It did not end within `seconds`; it was killed.
+    """
     process = await asyncio.create_subprocess_exec(
         *command,
         stdin=asyncio.subprocess.DEVNULL,
@@ -121,9 +129,9 @@
     )
     try:
         async with asyncio.timeout(seconds):
-            output, errors = await process.communicate()
+            stdout, stderr = await process.communicate()
     finally:
         if process.returncode is None:
             process.kill()
             await process.wait()
-    return process.returncode, output.decode(), errors.decode()
+    return process.returncode, stdout.decode(), stderr.decode()
--- a/packages/standin/src/marjoramyard/standin/relay.py
+++ b/packages/standin/src/marjoramyard/standin/relay.py
@@ -1,20 +1,23 @@
-"""A small TCP relay whose link can be cut silently and healed."""
+"""A TCP relay for injecting network faults."""
 
 import asyncio
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class Relay:
-    """Passes bytes both ways.
+    """Forwards bytes in both directions between clients and a target.
 
     Attributes:
-        is_partitioned: Bytes vanish and new connections hang, as behind a
-            silent network partition: nobody is told.
-        replies_allowed: Cleared, it holds what comes back until it is set.
-        delay_seconds: How much later each piece is passed on.
+        target: The `HOST:PORT` that connections are forwarded to.
+        is_partitioned: All bytes are dropped and no connection is closed, as
+            in a network partition.
+        replies_allowed: While cleared, bytes from the target are held back.
+        delay_seconds: Added latency of each chunk.
+        stalled_writers: Writers whose bytes are dropped.
+        connection_count: Connections accepted so far.
     """
 
     def __init__(self, target: str):
@@ -30,74 +33,74 @@
         self.tasks: set[asyncio.Task] = set()
 
     def partition(self) -> None:
-        """Lets nothing through any more, and tells nobody."""
+        """Drops all bytes from now on without closing any connection."""
         self.is_partitioned = True
 
     def heal(self) -> None:
-        """Lets new connections through; the old ones are broken."""
+        """Ends the partition and closes the connections it affected."""
         self.is_partitioned = False
         self.break_connections()
 
     def stall_connections(self) -> None:
-        """Lets nothing through on present connections, for good.
+        """Drops all further bytes of the present connections.
 
-        Nobody is told, and new connections work.
+        They are not closed, and new connections are unaffected.
         """
         self.stalled_writers |= self.writers
 
     def break_connections(self) -> None:
-        """Breaks all present connections; new ones are let through."""
+        """Aborts all present connections; new ones are accepted."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     async def serve_one(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Passes one connection on."""
+        """Forwards one accepted connection."""
         self.connection_count += 1
         self.writers.add(writer)
         self.tasks.add(asyncio.current_task())
         host, _, port = self.target.rpartition(":")
         try:
-            there = await asyncio.open_connection(host, int(port))
-            self.writers.add(there[1])
+            upstream = await asyncio.open_connection(host, int(port))
+            self.writers.add(upstream[1])
             await asyncio.gather(
-                self._pass(reader, there[1]),
-                self._pass(there[0], writer, self.replies_allowed),
+                self._forward(reader, upstream[1]),
+                self._forward(upstream[0], writer, self.replies_allowed),
             )
         except (OSError, asyncio.IncompleteReadError):
             writer.transport.abort()
         except asyncio.CancelledError:
-            # Only `close` cancels; the stream server would log it.
+            # Only `close` cancels; the stream server would log the exception.
             writer.transport.abort()
         finally:
             self.writers.discard(writer)
             self.tasks.discard(asyncio.current_task())
 
     async def close(self) -> None:
-        """Breaks all connections and waits until nothing is passed on."""
+        """Aborts all connections and waits until forwarding has ended."""
         self.break_connections()
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        may_pass: asyncio.Event | None = None,
+        allowed: asyncio.Event | None = None,
     ) -> None:
         try:
-            while data := await reader.read(_CHUNK):
-                if may_pass is not None:
-                    await may_pass.wait()
+            while data := await reader.read(_CHUNK_BYTES):
+                if allowed is not None:
+                    await allowed.wait()
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
-                if self._lets_through(writer):
+                if self._is_forwarding(writer):
                     writer.write(data)
                     await writer.drain()
-            if self._lets_through(writer):
+            if self._is_forwarding(writer):
                 writer.close()
         except OSError:
             writer.transport.abort()
@@ -105,7 +108,7 @@
             self.writers.discard(writer)
             self.stalled_writers.discard(writer)
 
-    def _lets_through(self, writer: asyncio.StreamWriter) -> bool:
+    def _is_forwarding(self, writer: asyncio.StreamWriter) -> bool:
         return not self.is_partitioned and writer not in self.stalled_writers
 
 
@@ -113,10 +116,10 @@
 async def relay_to(
     target: str, listen: str = "127.0.0.1:0"
 ) -> AsyncIterator[Relay]:
-    """Owns a relay in front of an address; port 0 takes any free one."""
+    """Runs a relay in front of an address; port 0 listens on any free port."""
     relay = Relay(target)
-    host, _, wanted = listen.rpartition(":")
-    server = await asyncio.start_server(relay.serve_one, host, int(wanted))
+    host, _, listen_port = listen.rpartition(":")
+    server = await asyncio.start_server(relay.serve_one, host, int(listen_port))
     port = server.sockets[0].getsockname()[1]
     relay.address = f"{host}:{port}"
     try:
