--- /dev/null
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -0,0 +1,297 @@
+"""The gateway side of the broker protocol."""
+
+import asyncio
+import time
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+
+import aiohttp
+import msgspec
+
+from marjoramyard.coordination.routing.config import Service
+from marjoramyard.fleet.gateway.admission import CallerRequest
+from marjoramyard.fleet.gateway.broker_protocol import (
+    BROKER_PATH,
+    BROKER_TIMEOUT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    BrokerMessage,
+    Finished,
+    FirstToken,
+    GatewayMessage,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRefusal,
+    PlaceRequest,
+    RunningRequest,
+    Withdraw,
+    broker_message_decoder,
+)
+from marjoramyard.fleet.gateway.refusal_cache import RefusalCache
+from marjoramyard.fleet.gateway.view import FleetView
+from marjoramyard.fleet.util.lag import LoopLag
+from marjoramyard.fleet.util.liveness import LivenessTimer
+from marjoramyard.fleet.util.tasks import TaskGroup
+from marjoramyard.kernel.logs import get_logger
+from marjoramyard.kernel.metrics import Metrics
+
+logger = get_logger(__name__)
+
+RECONNECT_SECONDS = 0.2
+CONNECT_SECONDS = 0.4
+"""Timeout of opening and of closing a connection."""
+
+
+class BrokerClient:
+    """A gateway's connection to the broker of one service.
+
+    Attributes:
+        refusals: Recent refusals that still hold.
+        liveness: Expires when the broker sends nothing for too long.
+        last_number: The number of the last request.
+        pending: Place requests without a reply, by number.
+        running: Requests at endpoints, by number.
+        outbox: Messages to be sent in the next frame.
+    """
+
+    def __init__(
+        self, view: FleetView, session: aiohttp.ClientSession, lag: LoopLag
+    ):
+        self.view = view
+        self.session = session
+        self.lag = lag
+        self.refusals = RefusalCache()
+        self.socket: aiohttp.ClientWebSocketResponse | None = None
+        self.liveness = LivenessTimer(
+            BROKER_TIMEOUT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
+        )
+        self.last_number = 0
+        self.pending: dict[int, asyncio.Future] = {}
+        self.running: dict[int, RunningRequest] = {}
+        self.outbox: list[GatewayMessage] = []
+        self.flush_scheduled = False
+
+    @property
+    def is_connected(self) -> bool:
+        """Whether there is a connection and the broker is responsive."""
+        return self.socket is not None and not self.liveness.has_expired
+
+    async def run(self, service: str) -> None:
+        """Connects to the service's broker, and reconnects, until cancelled."""
+        while True:
+            address = self.view.broker_of(service)
+            if address:
+                await self._connect(service, address)
+            await asyncio.sleep(RECONNECT_SECONDS)
+
+    async def _connect(self, service: str, address: str) -> None:
+        try:
+            socket = await LivenessTimer(
+                CONNECT_SECONDS, HEARTBEAT_INTERVAL_SECONDS
+            ).wait_for(
+                self.session.ws_connect(
+                    f"http://{address}{BROKER_PATH}", compress=0
+                )
+            )
+        except (aiohttp.ClientError, OSError, TimeoutError) as error:
+            logger.info("broker_unreachable", broker=address, why=repr(error))
+            return
+        logger.info("broker_connected", service=service, broker=address)
+        self.socket = socket
+        self.liveness.reset()
+        self.outbox = list(self.running.values())
+        self._schedule_flush()
+        try:
+            await self.liveness.wait_for(self._read(service, address, socket))
+        except TimeoutError:
+            logger.info("broker_unresponsive", service=service, broker=address)
+        finally:
+            self.socket = None
+            self._release_pending()
+            await self._close(socket)
+            logger.info("broker_lost", service=service, broker=address)
+
+    async def _read(self, service: str, address: str, socket) -> None:
+        while self.view.broker_of(service) == address:
+            frame = await socket.receive()
+            if frame.type is not aiohttp.WSMsgType.TEXT:
+                return
+            self.liveness.reset()
+            for message in broker_message_decoder.decode(frame.data):
+                self._on_message(message)
+
+    @staticmethod
+    async def _close(socket: aiohttp.ClientWebSocketResponse) -> None:
+        try:
+            async with asyncio.timeout(CONNECT_SECONDS):
+                await socket.close()
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            logger.info("broker_close_failed", why=repr(error))
+
+    def _on_message(self, message: BrokerMessage) -> None:
+        if isinstance(message, Heartbeat):
+            return
+        future = self.pending.pop(message.number, None)
+        if future is not None and not future.done():
+            future.set_result(message)
+        elif isinstance(message, PlaceGrant):
+            # The caller disconnected, or the request was placed locally.
+            self._send(Finished(message.number))
+
+    def _release_pending(self) -> None:
+        """Lets pending requests proceed without a broker."""
+        pending, self.pending = self.pending, {}
+        for future in pending.values():
+            if not future.done():
+                future.set_result(None)
+
+    def _send(self, message: GatewayMessage) -> None:
+        if self.socket is None:
+            return
+        self.outbox.append(message)
+        self._schedule_flush()
+
+    def _schedule_flush(self) -> None:
+        """Sends all messages of one event loop iteration in one frame."""
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
+            asyncio.get_running_loop().call_soon(self._flush)
+
+    def _flush(self) -> None:
+        self.flush_scheduled = False
+        outbox, self.outbox = self.outbox, []
+        if outbox and self.socket is not None and not self.socket.closed:
+            data = msgspec.json.encode(outbox).decode()
+            task = asyncio.ensure_future(self.socket.send_str(data))
+            task.add_done_callback(_log_send_failure)
+
+    async def place(
+        self, caller: CallerRequest, service: Service, excluded: set[str]
+    ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
+        """Requests a place for a request from the broker.
+
+        Args:
+            caller: The request.
+            service: The service that it is for.
+            excluded: Endpoints that it must not be sent to.
+
+        Returns:
+            The request's number for later calls, and the broker's reply, or
+                None if no broker replied.
+        """
+        self.last_number += 1
+        number = self.last_number
+        if not self.is_connected:
+            return number, None
+        workspace = caller.workspace.name if caller.workspace else ""
+        cached = self.refusals.find(workspace, caller.route.name)
+        if cached is not None:
+            return number, cached
+        now = time.monotonic()
+        seconds_due = caller.arrived_at + caller.route.objective_ms / 1000 - now
+        future = asyncio.get_running_loop().create_future()
+        self.pending[number] = future
+        self._send(
+            PlaceRequest(
+                number,
+                service.name,
+                workspace,
+                [(part.digest, part.tokens) for part in caller.parts],
+                caller.output_tokens,
+                seconds_due * 1000,
+                caller.seconds_left(now) * 1000,
+                sorted(excluded),
+            )
+        )
+        try:
+            reply = await future
+            if isinstance(reply, PlaceRefusal):
+                self.refusals.add(workspace, caller.route.name, reply)
+            return number, reply
+        finally:
+            if self.pending.pop(number, None) is not None:
+                self._send(Withdraw(number))
+
+    async def send_heartbeats_forever(self) -> None:
+        """Sends heartbeats while a request is pending or being prefilled."""
+        while True:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+            if self.pending or any(r.tokens for r in self.running.values()):
+                self._send(Heartbeat(self.lag.is_late))
+
+    def on_started(self, running: RunningRequest, is_granted: bool) -> None:
+        """Records that a request is being sent to an endpoint.
+
+        Args:
+            running: The request.
+            is_granted: Whether the broker chose the endpoint.
+        """
+        self.running[running.number] = running
+        if not is_granted:
+            self._send(running)
+
+    def return_grant(self, number: int) -> None:
+        """Tells the broker that a grant is not used."""
+        self._send(Finished(number))
+
+    def on_first_token(self, number: int) -> None:
+        """Reports the first token of a request to the broker."""
+        running = self.running.get(number)
+        if running is not None and running.tokens:
+            running.tokens = 0.0
+            self._send(FirstToken(number, self.lag.is_late))
+
+    def on_finished(self, number: int, failed: bool) -> None:
+        """Reports that a request is no longer at its endpoint.
+
+        Args:
+            number: The request's number.
+            failed: Whether the endpoint failed to respond.
+        """
+        if self.running.pop(number, None) is not None:
+            self._send(Finished(number, failed))
+
+
+class BrokerClients:
+    """The broker clients of all services with engines."""
+
+    def __init__(
+        self,
+        tasks: TaskGroup,
+        view: FleetView,
+        session: aiohttp.ClientSession,
+        metrics: Metrics,
+    ):
+        self.tasks = tasks
+        self.view = view
+        self.session = session
+        self.clients: dict[str, BrokerClient] = {}
+        self.lag = LoopLag(metrics)
+        tasks.spawn(self.lag.watch())
+        view.on_config.append(self._on_config)
+
+    def _on_config(self) -> None:
+        for name, service in self.view.table.services.items():
+            if service.engine is not None:
+                self.client_for(name)
+
+    def client_for(self, service: str) -> BrokerClient:
+        """Returns the client of a service's broker; creates it if needed."""
+        client = self.clients.get(service)
+        if client is None:
+            client = BrokerClient(self.view, self.session, self.lag)
+            self.clients[service] = client
+            self.tasks.spawn(client.run(service))
+            self.tasks.spawn(client.send_heartbeats_forever())
+        return client
+
+
+@asynccontextmanager
+async def open_broker_session() -> AsyncIterator[aiohttp.ClientSession]:
+    """Opens the HTTP session for connections to brokers."""
+    async with aiohttp.ClientSession() as session:
+        yield session
+
+
+def _log_send_failure(task: asyncio.Future) -> None:
+    if not task.cancelled() and task.exception() is not None:
+        logger.info("broker_send_failed", why=repr(task.exception()))
--- a/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/delivery.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to its caller: whole, or visibly cut."""
+"""Relays responses of endpoints to the caller."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,22 +7,26 @@
 from aiohttp import web
 
 from marjoramyard.fleet.gateway.attempts import SendFailedError, SendOutcome
-from marjoramyard.fleet.gateway.events import EventCutter
+from marjoramyard.fleet.gateway.events import EventSplitter
 from marjoramyard.fleet.util.headers import copy_headers, end_to_end, is_stream
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller has closed its connection."""
 
 
-class Delivery:
-    """The one answer that a caller gets, from one endpoint or several.
+class ResponseDelivery:
+    """The response to one caller, from one endpoint or several.
 
     Attributes:
-        response: Set once its head has gone out; no other answer may follow.
-        events: Cuts a stream into whole events and knows the last one.
-        first_at: Loop clock when the first bytes of the body went out.
-        longest_gap: The longest pause between two events so far, in seconds.
+        response: Set once the head has been sent; no other response may follow.
+        events: Splits a stream into complete events and knows the last ID.
+        first_at: When the first body bytes were sent, on the event loop clock
+            in seconds; 0 before.
+        bytes_sent: Body bytes sent so far.
+        written_at: When body bytes were last written, on the event loop clock
+            in seconds.
+        longest_gap: The longest time between two writes, in seconds.
     """
 
     def __init__(
@@ -31,90 +35,94 @@
         self.request = request
         self.closes_connection = closes_connection
         self.response: web.StreamResponse | None = None
-        self.events = EventCutter()
+        self.events = EventSplitter()
         self.first_at = 0.0
         self.bytes_sent = 0
         self.written_at = 0.0
         self.longest_gap = 0.0
 
     @property
-    def has_begun(self) -> bool:
-        """Whether the caller has part of an answer."""
+    def has_started(self) -> bool:
+        """Whether part of the response has been sent."""
         return self.response is not None
 
-    async def take(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def relay(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.StreamResponse:
-        """Passes on an answer to its end.
+        """Relays a response to its end.
+
+        Args:
+            upstream: The response of the endpoint.
+            on_first: Called when the first complete data has arrived, possibly
+                more than once.
 
         Raises:
-            SendFailedError: The answer broke off.
+            SendFailedError: The endpoint's response broke off.
+            CallerGoneError: The caller has closed its connection.
         """
         try:
-            if self.has_begun or is_stream(list(answer.headers.items())):
-                return await self._stream(answer, on_first)
-            return await self._whole(answer, on_first)
+            if self.has_started or is_stream(list(upstream.headers.items())):
+                return await self._relay_stream(upstream, on_first)
+            return await self._relay_complete(upstream, on_first)
         except (aiohttp.ClientError, ValueError) as error:
             raise SendFailedError(SendOutcome.BROKEN, repr(error)) from error
 
-    async def _whole(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def _relay_complete(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.Response:
-        """Holds a plain answer until it is complete.
+        """Buffers a plain response until it is complete.
 
-        So one that breaks off can still be run again, or be told as a
-        failure, instead of reaching the caller in part.
+        One that breaks off can then still be retried or reported as a failure.
         """
-        body = await answer.read()
+        body = await upstream.read()
         on_first()
         self.first_at = asyncio.get_running_loop().time()
-        response = web.Response(status=answer.status, body=body)
-        copy_headers(end_to_end(list(answer.headers.items())), response)
+        response = web.Response(status=upstream.status, body=body)
+        copy_headers(end_to_end(list(upstream.headers.items())), response)
         self.bytes_sent = len(body)
         return response
 
-    async def _stream(
-        self, answer: aiohttp.ClientResponse, on_first
+    async def _relay_stream(
+        self, upstream: aiohttp.ClientResponse, on_first
     ) -> web.StreamResponse:
-        if self.has_begun and answer.status >= 300:
+        if self.has_started and upstream.status >= 300:
             raise SendFailedError(
-                SendOutcome.BROKEN, f"resumed with status {answer.status}"
+                SendOutcome.BROKEN, f"resumed with status {upstream.status}"
             )
-        self.events.held.clear()
-        async for data in answer.content.iter_any():
-            whole = self.events.feed(data)
-            if whole:
+        self.events.buffer.clear()
+        async for data in upstream.content.iter_any():
+            events = self.events.feed(data)
+            if events:
                 on_first()
-                await self._pass_on(answer, whole)
-        return await self._end(answer)
+                await self._forward(upstream, events)
+        return await self._finish(upstream)
 
-    async def _pass_on(
-        self, answer: aiohttp.ClientResponse, whole: bytes
+    async def _forward(
+        self, upstream: aiohttp.ClientResponse, events: bytes
     ) -> None:
         if self.response is None:
-            await self._begin(answer)
-        await self._write(whole)
+            await self._start(upstream)
+        await self._write(events)
 
     async def _write(self, data: bytes) -> None:
-        # The library's error for a caller that left is also one of its
-        # errors for endpoints; it must not count as the endpoint's.
+        # aiohttp raises the same error when an endpoint's connection fails.
         try:
             await self.response.write(data)
         except ConnectionError as error:
             raise CallerGoneError(str(error)) from error
         self.bytes_sent += len(data)
-        self._note_gap()
+        self._record_gap()
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         now = asyncio.get_running_loop().time()
         if self.written_at:
             gap = now - self.written_at
             self.longest_gap = max(self.longest_gap, gap)
         self.written_at = now
 
-    async def _begin(self, answer: aiohttp.ClientResponse) -> None:
-        response = web.StreamResponse(status=answer.status)
-        copy_headers(end_to_end(list(answer.headers.items())), response)
+    async def _start(self, upstream: aiohttp.ClientResponse) -> None:
+        response = web.StreamResponse(status=upstream.status)
+        copy_headers(end_to_end(list(upstream.headers.items())), response)
         response.enable_chunked_encoding()
         if self.closes_connection():
             response.force_close()
@@ -125,18 +133,20 @@
         except ConnectionError as error:
             raise CallerGoneError(str(error)) from error
 
-    async def _end(self, answer: aiohttp.ClientResponse) -> web.StreamResponse:
-        rest = bytes(self.events.held)
+    async def _finish(
+        self, upstream: aiohttp.ClientResponse
+    ) -> web.StreamResponse:
+        rest = bytes(self.events.buffer)
         if self.response is None:
-            await self._begin(answer)
+            await self._start(upstream)
         if rest:
             await self._write(rest)
         return self.response
 
-    def cut(self) -> None:
-        """Ends a begun answer so that it can't be taken for a whole one.
+    def abort(self) -> None:
+        """Closes the connection without the final chunk.
 
-        The connection closes without the last chunk.
+        The caller can't mistake the response for a complete one.
         """
         if self.request.transport is not None:
             self.request.transport.close()
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the fleet, and until when."""
+"""A gateway's view of the fleet, as reported by the control hosts."""
 
 import time
 from collections.abc import Callable
@@ -21,15 +21,25 @@
 
 logger = get_logger(__name__)
 
-SILENCE_VALID_SECONDS = 3.0
-"""How long a control host's list of silent endpoints counts."""
+REPORT_VALID_SECONDS = 3.0
+"""How long a control host's list of unresponsive endpoints is valid."""
 RECENT_SUCCESS_SECONDS = 1.5
-"""An endpoint that answered so lately is alive, whatever its heartbeats
-say: it may be cut off from the control hosts only."""
+"""An endpoint that succeeded so recently counts as alive even if its heartbeats
+are missing: it may be unable to reach the control hosts only."""
 
 
 class FleetView:
-    """Configuration, lease, endpoints and their health."""
+    """The configuration, the lease, the endpoints and their health.
+
+    Attributes:
+        lease: The lease within which API keys may be accepted.
+        table: The routes of the configuration in force; None before the first.
+        health: The health of each endpoint, as seen by this gateway.
+        unresponsive_reports: By control host, when it last reported and the
+            endpoints whose heartbeats it misses.
+        gateway_count: The number of gateways in the fleet.
+        on_config: Called after a new configuration has come into force.
+    """
 
     def __init__(self, dialect: GatewayDialect, lease_seconds: float):
         self.dialect = dialect
@@ -37,57 +47,58 @@
         self.table: RouteTable | None = None
         self.registrations = Registrations()
         self.health: dict[str, EndpointHealth] = {}
-        self.silent_at: dict[str, tuple[float, frozenset[str]]] = {}
-        self.gateways = 1
+        self.unresponsive_reports: dict[str, tuple[float, frozenset[str]]] = {}
+        self.gateway_count = 1
         self.control_addresses: set[str] = set()
         self.broker_addresses: list[str] = []
         self.on_config: list[Callable[[], None]] = []
 
     @property
     def version(self) -> int:
-        """The version of the configuration in force here; 0 for none."""
+        """The version of the configuration in force; 0 for none."""
         return self.table.version if self.table is not None else 0
 
     def broker_of(self, service: str) -> str:
         """Returns the address of a service's broker; "" for none.
 
-        Services with engines take turns over the candidates, so that no
-        gateway brokers them all.
+        The services with engines are distributed over the candidates in turn.
         """
         if self.table is None or not self.broker_addresses:
             return ""
         names = sorted(
-            name for name, known in self.table.services.items() if known.engine
+            name
+            for name, config in self.table.services.items()
+            if config.engine
         )
         if service not in names:
             return ""
-        place = names.index(service) % len(self.broker_addresses)
-        return self.broker_addresses[place]
+        position = names.index(service) % len(self.broker_addresses)
+        return self.broker_addresses[position]
 
-    def lease_holds(self) -> bool:
-        """Whether keys may still be taken for good."""
-        return self.lease.holds(boot_seconds())
+    def has_valid_lease(self) -> bool:
+        """Whether API keys may be accepted."""
+        return self.lease.is_valid(boot_seconds())
 
-    def take(self, source: str, reply: SyncReply, sent_at: float) -> None:
-        """Takes in a control host's answer.
+    def apply(self, source: str, reply: SyncReply, sent_at: float) -> None:
+        """Applies a control host's reply.
 
         Args:
-            source: The control host's internal address.
-            reply: What it said.
-            sent_at: Boot clock when we asked.
+            source: The internal address of the control host.
+            reply: The reply.
+            sent_at: When the request was sent, on the boot clock in seconds.
         """
         if reply.config is not None:
             self._install(reply.config)
         if reply.confirmed:
             self.broker_addresses = reply.brokers
         if reply.confirmed and self.version >= reply.version:
-            self.lease.renewed(sent_at, self.lease.seconds)
+            self.lease.renew(sent_at, self.lease.seconds)
         now = time.monotonic()
-        for word in reply.words:
-            self._merge(word, now)
-        self.silent_at[source] = (now, frozenset(reply.silent))
+        for registration in reply.words:
+            self._merge(registration, now)
+        self.unresponsive_reports[source] = (now, frozenset(reply.silent))
         self.control_addresses = set(reply.addresses)
-        self.gateways = max(1, reply.gateways)
+        self.gateway_count = max(1, reply.gateways)
 
     def _install(self, document: ConfigDocument) -> None:
         if document.version <= self.version:
@@ -95,7 +106,7 @@
         decoded = self.dialect.decode_config(document.text)
         if isinstance(decoded, Err):
             logger.error(
-                "config_unreadable",
+                "config_decode_failed",
                 version=document.version,
                 why=decoded.err_value,
             )
@@ -106,61 +117,65 @@
         for listener in self.on_config:
             listener()
 
-    def _merge(self, word: Registration, now: float) -> None:
-        held = self.registrations.by_endpoint.get(word.endpoint)
-        if not self.registrations.merge(word, now):
+    def _merge(self, registration: Registration, now: float) -> None:
+        held = self.registrations.by_endpoint.get(registration.endpoint)
+        if not self.registrations.merge(registration, now):
             return
-        if held is None or held.born != word.born:
-            self.health[word.endpoint] = EndpointHealth()
+        if held is None or held.born != registration.born:
+            self.health[registration.endpoint] = EndpointHealth()
         logger.info(
             "endpoint",
-            endpoint=word.endpoint,
-            service=word.service,
-            state=word.state.value,
-            address=word.address,
+            endpoint=registration.endpoint,
+            service=registration.service,
+            state=registration.state.value,
+            address=registration.address,
         )
 
     def health_of(self, endpoint: str) -> EndpointHealth:
-        """Returns the record of an endpoint's outcomes."""
+        """Returns the health record of an endpoint."""
         return self.health.setdefault(endpoint, EndpointHealth())
 
-    def is_silent(self, endpoint: str, now: float) -> bool:
-        """Whether all control hosts in touch miss its heartbeats."""
+    def is_unresponsive(self, endpoint: str, now: float) -> bool:
+        """Whether all reachable control hosts miss its heartbeats."""
         recent = [
             silent
-            for at, silent in self.silent_at.values()
-            if now - at < SILENCE_VALID_SECONDS
+            for at, silent in self.unresponsive_reports.values()
+            if now - at < REPORT_VALID_SECONDS
         ]
         return bool(recent) and all(endpoint in silent for silent in recent)
 
-    def usable(self, service: str, without: set[str]) -> list[Registration]:
-        """Returns the endpoints that may get a request now.
+    def usable(self, service: str, excluded: set[str]) -> list[Registration]:
+        """Returns the endpoints that may receive a request now.
 
-        Paused and silent ones are used only where there are no others: a
-        wrong suspicion of all must not stop the service.
+        Endpoints that are unresponsive or in backoff are returned only if there
+        are no others, so that wrong suspicions can't stop a service.
         """
         now = time.monotonic()
         ready = [
-            word
-            for word in self.registrations.usable(service)
-            if word.endpoint not in without
+            registration
+            for registration in self.registrations.usable(service)
+            if registration.endpoint not in excluded
         ]
-        sound = [word for word in ready if self._is_sound(word, now)]
-        return sound or ready
+        healthy = [
+            registration
+            for registration in ready
+            if self._is_healthy(registration, now)
+        ]
+        return healthy or ready
 
-    def _is_sound(self, word: Registration, now: float) -> bool:
-        health = self.health_of(word.endpoint)
+    def _is_healthy(self, registration: Registration, now: float) -> bool:
+        health = self.health_of(registration.endpoint)
         if health.is_backing_off(now):
             return False
         if now - health.last_success_at < RECENT_SUCCESS_SECONDS:
             return True
-        return not self.is_silent(word.endpoint, now)
+        return not self.is_unresponsive(registration.endpoint, now)
 
-    def still_ready(self, word: Registration) -> bool:
-        """Whether a chosen endpoint may still get new work."""
-        held = self.registrations.by_endpoint.get(word.endpoint)
+    def is_still_ready(self, registration: Registration) -> bool:
+        """Whether a chosen endpoint may still receive new requests."""
+        held = self.registrations.by_endpoint.get(registration.endpoint)
         return (
             held is not None
             and held.state is EndpointState.READY
-            and held.born == word.born
+            and held.born == registration.born
         )
--- a/packages/fleet/tests/gateway/granting_broker.py
+++ b/packages/fleet/tests/gateway/granting_broker.py
@@ -1,6 +1,6 @@
-"""A broker in a process of its own that grants every request at once.
+"""A broker process that grants every request at once.
 
-Prints its port. Ends when its standard input is closed.
+Prints its port. Exits when its standard input is closed.
 """
 
 import asyncio
@@ -9,13 +9,13 @@
 import msgspec
 from aiohttp import WSMsgType, web
 
-from marjoramyard.fleet.gateway.brokering import (
-    BEAT_SECONDS,
+from marjoramyard.fleet.gateway.broker_protocol import (
     BROKER_PATH,
-    AskPlace,
-    Beat,
-    GrantPlace,
-    to_broker,
+    HEARTBEAT_INTERVAL_SECONDS,
+    Heartbeat,
+    PlaceGrant,
+    PlaceRequest,
+    gateway_message_decoder,
 )
 
 
@@ -23,25 +23,25 @@
     await socket.send_str(msgspec.json.encode(list(messages)).decode())
 
 
-async def beat_forever(socket):
+async def send_heartbeats_forever(socket):
     while True:
-        await send(socket, Beat())
-        await asyncio.sleep(BEAT_SECONDS)
+        await send(socket, Heartbeat())
+        await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
 
 async def serve(request):
     socket = web.WebSocketResponse(compress=False)
     await socket.prepare(request)
-    beats = asyncio.create_task(beat_forever(socket))
+    heartbeats = asyncio.create_task(send_heartbeats_forever(socket))
     try:
-        async for message in socket:
-            if message.type is not WSMsgType.TEXT:
+        async for frame in socket:
+            if frame.type is not WSMsgType.TEXT:
                 continue
-            for told in to_broker.decode(message.data):
-                if isinstance(told, AskPlace):
-                    await send(socket, GrantPlace(told.number, "e0"))
+            for request in gateway_message_decoder.decode(frame.data):
+                if isinstance(request, PlaceRequest):
+                    await send(socket, PlaceGrant(request.number, "e0"))
     finally:
-        beats.cancel()
+        heartbeats.cancel()
     return socket
 
 
--- /dev/null
+++ b/packages/fleet/tests/gateway/test_refusal_cache.py
@@ -0,0 +1,36 @@
+"""Refusals of the broker that the gateway caches."""
+
+from marjoramyard.fleet.gateway import refusal_cache
+from marjoramyard.fleet.gateway.broker_protocol import PlaceRefusal
+
+
+def refusal(over_ms):
+    return PlaceRefusal(1, 1500.0, 700.0, over_ms)
+
+
+def test_a_refusal_is_cached_until_the_queue_can_be_short_enough(monkeypatch):
+    """A refusal holds for its workspace and route until it expires."""
+    now = 100.0
+    monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
+    cache = refusal_cache.RefusalCache()
+    cache.add("large", "chat", refusal(30.0))
+    assert cache.find("large", "chat") == refusal(30.0)
+    assert cache.find("large", "guide") is None
+    assert cache.find("small", "chat") is None
+    now = 100.031
+    assert cache.find("large", "chat") is None
+
+
+def test_caching_time_is_limited(monkeypatch):
+    now = 100.0
+    monkeypatch.setattr(refusal_cache.time, "monotonic", lambda: now)
+    cache = refusal_cache.RefusalCache()
+    cache.add("large", "chat", refusal(5000.0))
+    now = 100.0 + refusal_cache.MAX_CACHED_SECONDS
+    assert cache.find("large", "chat") is None
+
+
+def test_a_refusal_without_a_duration_is_not_cached():
+    cache = refusal_cache.RefusalCache()
+    cache.add("w", "chat", refusal(0.0))
+    assert cache.find("w", "chat") is None
--- a/packages/fleet/tests/gateway/test_serving.py
+++ b/packages/fleet/tests/gateway/test_request_handler.py
@@ -1,4 +1,4 @@
-"""What a gateway refuses before it has parsed it."""
+"""Prompts that a gateway refuses before they are parsed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 from marjoramyard.coordination.routing.table import RouteTable
 from marjoramyard.fleet.gateway.dialect import GATEWAY_DIALECTS
 from marjoramyard.fleet.gateway.early_refusal import parse_head
-from marjoramyard.fleet.gateway.serving import Dispatcher
+from marjoramyard.fleet.gateway.request_handler import RequestHandler
 from marjoramyard.fleet.gateway.view import FleetView
 from marjoramyard.kernel.metrics import Metrics
 from marjoramyard.kernel.util.clocks import boot_seconds
@@ -35,15 +35,15 @@
         for name in ("llm", "api")
     ),
     services=(Service("llm", engine=EngineProfile()), Service("api")),
-    workspaces=(Workspace("flood", ("k1",)), Workspace("small", ("k2",))),
+    workspaces=(Workspace("large", ("k1",)), Workspace("small", ("k2",))),
 )
 
 
 @pytest.fixture
-def dispatcher():
+def handler():
     view = FleetView(GATEWAY_DIALECTS.get("native"), 60.0)
     view.table = RouteTable(CONFIG)
-    view.lease.renewed(boot_seconds(), 60.0)
+    view.lease.renew(boot_seconds(), 60.0)
     metrics = Metrics("gateway", "g0")
     app = SimpleNamespace(
         metrics=metrics,
@@ -51,41 +51,39 @@
         stopping=asyncio.Event(),
     )
     brokers = SimpleNamespace(lag=SimpleNamespace(on_wake_up=[]))
-    made = Dispatcher(view, None, brokers, app)
-    made.limit.limit = 1.0
-    with made.limit.serving("flood"):
-        yield made
+    instance = RequestHandler(view, None, brokers, app)
+    instance.limit.limit = 1.0
+    with instance.limit.admit("large"):
+        yield instance
     metrics.close()
 
 
-def refusal(dispatcher, path="/llm/x", key="k1"):
-    text = f"POST {path} HTTP/1.1\r\nHost: h\r\nApi-Key: {key}\r\n\r\n"
-    return dispatcher.refuse_early(parse_head(text.encode()))
+def refuse_early(handler, path="/llm/x", key="k1"):
+    head = f"POST {path} HTTP/1.1\r\nHost: h\r\nApi-Key: {key}\r\n\r\n"
+    return handler.refuse_early(parse_head(head.encode()))
 
 
-def test_a_prompt_beyond_the_limit_is_told_when_to_come_back(dispatcher):
-    told = refusal(dispatcher).decode()
-    assert told.startswith("HTTP/1.1 503 ")
-    assert "Retry-After: " in told
-    assert '"outcome":"not-run"' in told.partition("\r\n\r\n")[2]
-    assert dispatcher.limit.take_refused() == {"flood": 1}
+def test_a_prompt_beyond_the_limit_is_refused_with_retry_after(handler):
+    response = refuse_early(handler).decode()
+    assert response.startswith("HTTP/1.1 503 ")
+    assert "Retry-After: " in response
+    assert '"outcome":"not-run"' in response.partition("\r\n\r\n")[2]
+    assert handler.limit.pop_refused_counts() == {"large": 1}
 
 
 @pytest.mark.parametrize(
     "request_", [{"path": "/api/x"}, {"key": "k2"}, {"path": "/other"}]
 )
-def test_other_requests_are_parsed(dispatcher, request_):
-    """Guards against: a flood of prompts that keeps out plain calls, or the
-    prompts of other workspaces.
-    """
-    assert refusal(dispatcher, **request_) is None
+def test_other_requests_are_parsed(handler, request_):
+    """Guards against refusing plain calls, or prompts of other workspaces."""
+    assert refuse_early(handler, **request_) is None
 
 
-def test_an_unknown_key_is_not_told_to_come_back(dispatcher):
-    assert refusal(dispatcher, key="unknown") is None
-    assert refusal(dispatcher, key="") is None
+def test_an_unknown_key_is_not_refused_early(handler):
+    assert refuse_early(handler, key="unknown") is None
+    assert refuse_early(handler, key="") is None
 
 
-def test_no_key_is_judged_without_a_lease(dispatcher):
-    dispatcher.view.lease.until = 0.0
-    assert refusal(dispatcher) is None
+def test_nothing_is_refused_early_without_a_lease(handler):
+    handler.view.lease.valid_until = 0.0
+    assert refuse_early(handler) is None
