--- a/packages/standin/src/marjoramyard/standin/cmd/experiment.py
+++ b/packages/standin/src/marjoramyard/standin/cmd/experiment.py
@@ -1,4 +1,4 @@
-"""`marjoramctl experiment`: compares policies of placement on a model."""
+"""`marjoramctl experiment`: compares placement policies in simulation."""
 
 from pathlib import Path
 
@@ -17,13 +17,17 @@
     multiple=True,
     default=DEFAULT_POLICIES,
     show_default=True,
-    help="May be given several times; an unknown one lists those there are.",
+    help="May be repeated; an unknown name lists the known ones.",
 )
-@click.option("--seeds", default=8, show_default=True, help="How many.")
+@click.option("--seeds", default=8, show_default=True, help="Number of seeds.")
 @click.option("--first-seed", default=0, show_default=True)
-@click.option("--jobs", default=4, show_default=True, help="Processes.")
 @click.option(
-    "--plot", type=click.Path(path_type=Path), help="A PNG file to draw."
+    "--jobs", default=4, show_default=True, help="Parallel processes."
+)
+@click.option(
+    "--plot",
+    type=click.Path(path_type=Path),
+    help="Write plots to this PNG file.",
 )
 @click.pass_obj
 def experiment(
@@ -35,18 +39,19 @@
     jobs: int,
     plot: Path | None,
 ) -> None:
-    """Plays a load on model engines under several policies.
+    """Simulates a deployment under several placement policies.
 
-    DEPLOYMENT is a description in YAML; examples/experiments/ has some.
-    Nothing is sent anywhere. Shown are means over the seeds with 95%
-    intervals: what callers earned of what they were owed, over the whole
-    play, its worst spans and the worst-served workspaces.
+    DEPLOYMENT is a YAML file; see examples/experiments/. No requests are
+    sent. The table shows means over the seeds with 95% confidence intervals.
+    "whole", "windows" and "workspaces" are the shares of the attainable worth
+    that callers earned in the complete run, in its worst windows and in the
+    worst-served workspaces; "goal" is their weighted mean.
     """
-    # Loads the model, which the other commands of marjoramctl don't need.
+    # Imported here because the other commands don't need the simulation.
     from marjoramyard.standin.experiment import report
 
     try:
-        described, seen = report.play_with_progress(
+        described, results = report.run_with_progress(
             deployment,
             list(policies),
             list(range(first_seed, first_seed + seeds)),
@@ -55,9 +60,9 @@
     except (KeyError, ValueError) as error:
         raise click.UsageError(str(error.args[0])) from error
     as_json = session is not None and session.output == "json"
-    report.show(seen, as_json)
+    report.print_summaries(results, as_json)
     if plot is not None:
-        report.draw_plot(described, seen, plot)
+        report.draw_plot(described, results, plot)
 
 
 def setup(main: click.Group) -> None:
--- a/packages/standin/src/marjoramyard/standin/experiment/__init__.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/__init__.py
@@ -1,5 +1,5 @@
-"""Plays loads against models of engines, to compare policies of placement.
+"""Discrete-event simulation of deployments, to compare placement policies.
 
-Nothing here uses a network or reads a clock: a day of thirty seconds plays
-in a few, and a seed repeats it exactly.
+The simulation uses no network and no wall clock, and draws all random numbers
+from a seed.
 """
--- a/packages/standin/src/marjoramyard/standin/experiment/deployments.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/deployments.py
@@ -1,4 +1,4 @@
-"""Descriptions of deployments and loads, read from YAML."""
+"""Deployments and their loads, as described in YAML files."""
 
 from enum import Enum
 from pathlib import Path
@@ -6,16 +6,16 @@
 import msgspec
 import yaml
 
-from marjoramyard.standin.experiment.engine_model import EngineSpeeds
+from marjoramyard.standin.experiment.engine_model import EngineParameters
 
 
-class Spread(msgspec.Struct, frozen=True):
-    """A log-normal size.
+class LogNormal(msgspec.Struct, frozen=True):
+    """A log-normal distribution of sizes.
 
     Attributes:
-        mean: Its mean.
-        spread: The standard deviation of its logarithm.
-        most: Larger draws are cut to this.
+        mean: Mean before truncation.
+        spread: Standard deviation of the logarithm; 0 for a constant.
+        most: Larger values are replaced by this one.
     """
 
     mean: float
@@ -24,34 +24,34 @@
 
 
 class SharedPart(msgspec.Struct, frozen=True):
-    """A part of prompts that requests of a kind share.
+    """A prompt part that several requests of a kind share.
 
     Attributes:
-        tokens: Its size.
-        count: How many different ones there are.
-        skew: How uneven their use is (the exponent of a Zipf law).
+        tokens: Size in tokens.
+        count: Number of different parts.
+        skew: Exponent of the Zipf distribution of their use.
     """
 
-    tokens: Spread
+    tokens: LogNormal
     count: int
     skew: float = 0.3
 
 
-class Kind(msgspec.Struct, frozen=True, kw_only=True):
+class RequestKind(msgspec.Struct, frozen=True, kw_only=True):
     """A kind of request.
 
     Attributes:
-        per_s: Its arrivals a second.
-        objective_ms: The first event is on time within this.
-        gap_ms: The longest pause between events that is on time.
-        deadline_ms: When its caller gives up.
-        worth: What an answer on time is worth to its caller.
-        late_worth: The same for a late one.
-        retries: How often a refused caller comes back.
-        shared: The shared parts, in order.
-        own: Tokens of the last part.
-        events: Events of an answer.
-        body_kb: The size of the request.
+        per_s: Mean arrivals per second.
+        objective_ms: Objective for the time to the first event.
+        gap_ms: Objective for the longest gap between events.
+        deadline_ms: Time after which the caller cancels the request.
+        worth: Worth of a response on time.
+        late_worth: Worth of a late response.
+        retries: How often a refused caller retries.
+        shared: Shared prompt parts, in order.
+        own: Tokens of the last part, which is not shared.
+        events: Events of a response.
+        body_kb: Size of the request body in kilobytes.
     """
 
     name: str
@@ -63,40 +63,40 @@
     late_worth: float = 0.1
     retries: int = 1
     shared: tuple[SharedPart, ...] = ()
-    own: Spread = Spread(600.0)
-    events: Spread = Spread(30.0)
+    own: LogNormal = LogNormal(600.0)
+    events: LogNormal = LogNormal(30.0)
     body_kb: float = 2.0
 
 
 class DisturbanceKind(Enum):
-    """What may happen during a play."""
+    """Kinds of disturbances of a load or of the fleet."""
 
     HOT_WORKSPACE = "hot_workspace"
-    """One workspace sends `factor` times its usual."""
+    """One workspace sends `factor` times its usual load."""
     BURST = "burst"
-    """Everybody, or one kind, sends `factor` times the usual."""
+    """The load of all kinds, or of one, is multiplied by `factor`."""
     HOT_KEY = "hot_key"
-    """A share of a kind's requests is about one thing."""
+    """A share of a kind's requests uses the same shared parts."""
     IMPATIENCE = "impatience"
-    """A share of callers repeats at once and `factor` times more often."""
+    """A share of callers retries at once and more often than configured."""
     CRASH = "crash"
     """Some engines are down."""
     SLOW = "slow"
-    """Some engines take `factor` times as long."""
+    """Some engines take `factor` times as long for each step."""
     BROKER_LOST = "broker_lost"
-    """A broker with no memory takes over after the time."""
+    """The broker is replaced by one that has no state."""
 
 
 class Disturbance(msgspec.Struct, frozen=True, kw_only=True):
-    """One disturbance of a play.
+    """One disturbance of a run.
 
     Attributes:
-        at: Seconds from the start.
-        lasts: Seconds.
-        count: How many engines; for a workspace, its rank by size.
-        factor: How strong.
-        share: Part of the requests or callers.
-        of_kind: The kind of request; "" for all.
+        at: Start, in seconds from the start of the run.
+        lasts: Duration in seconds.
+        count: Number of engines; for a workspace, its rank by size.
+        factor: Strength; see the kind.
+        share: Affected share of requests or callers.
+        of_kind: The affected kind of request; "" for all.
     """
 
     kind: DisturbanceKind
@@ -109,25 +109,26 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, kw_only=True):
-    """Engines, workspaces and the load they get.
+    """Engines, workspaces and their load.
 
     Attributes:
-        seconds: How long requests arrive.
-        engines: How many.
-        zones: Availability zones; engines and callers are spread over them.
-        gateways: Callers of a gateway share its link to the broker.
-        hop_ms: One way within a zone.
-        cross_zone_ms: One way between zones.
-        tokens_per_s: What the configuration says that all engines make.
-        swing: How far the load goes up and down around its mean.
-        workspaces: How many.
-        workspace_skew: How uneven they are.
+        seconds: Duration of the arrivals.
+        engines: Number of engines.
+        speeds: Parameters of each engine.
+        zones: Availability zones; engines and gateways are spread over them.
+        gateways: Number of gateways.
+        hop_ms: One-way latency within a zone.
+        cross_zone_ms: One-way latency between zones.
+        tokens_per_s: Configured throughput of all engines together.
+        swing: Amplitude of the load's sine wave, relative to its mean.
+        workspaces: Number of workspaces.
+        workspace_skew: Exponent of the Zipf distribution of their sizes.
     """
 
     name: str
     seconds: float = 30.0
     engines: int = 6
-    speeds: EngineSpeeds = EngineSpeeds()
+    speeds: EngineParameters = EngineParameters()
     zones: int = 3
     gateways: int = 9
     hop_ms: float = 0.7
@@ -136,22 +137,24 @@
     swing: float = 0.15
     workspaces: int = 16
     workspace_skew: float = 1.0
-    kinds: tuple[Kind, ...] = ()
+    kinds: tuple[RequestKind, ...] = ()
     disturbances: tuple[Disturbance, ...] = ()
 
 
-class UnreadableDeploymentError(ValueError):
-    """A description that can't be read; says what to mend."""
+class InvalidDeploymentError(ValueError):
+    """A deployment file could not be read or is invalid."""
 
 
 def read_deployment(path: Path) -> Deployment:
-    """Reads a description.
+    """Reads a deployment file.
 
     Raises:
-        UnreadableDeploymentError: It isn't one.
+        InvalidDeploymentError: The file is unreadable or invalid.
     """
     try:
-        plain = yaml.safe_load(path.read_text(encoding="utf-8"))
-        return msgspec.convert(plain, Deployment)
+        document = yaml.safe_load(path.read_text(encoding="utf-8"))
+        return msgspec.convert(document, Deployment)
     except (OSError, yaml.YAMLError, msgspec.ValidationError) as error:
-        raise UnreadableDeploymentError(f"{path}: {error}; mend it") from error
+        raise InvalidDeploymentError(
+            f"{path}: {error}; correct the deployment file"
+        ) from error
--- a/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/disturbances.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a play, beside the load itself."""
+"""Disturbances of engines and of the broker during a run."""
 
 import functools
 from typing import TYPE_CHECKING
@@ -14,16 +14,16 @@
     from marjoramyard.standin.experiment.simulation import Simulation
 
 DETECTION_MS = 100.0
-"""Until an engine's crash is known; its connections end with it."""
+"""Delay until the policy learns of an engine's crash or restart."""
 
 
 def schedule(simulation: "Simulation", disturbance: Disturbance) -> None:
-    """Schedules what a disturbance does to engines or the broker."""
+    """Schedules a disturbance's effects on engines or the broker."""
     loop = simulation.loop
     at = disturbance.at * 1000
     end = at + disturbance.lasts * 1000
     if disturbance.kind is DisturbanceKind.BROKER_LOST:
-        loop.at(at, functools.partial(_lose_broker, simulation))
+        loop.at(at, functools.partial(_replace_broker, simulation))
         return
     if disturbance.kind not in (DisturbanceKind.CRASH, DisturbanceKind.SLOW):
         return
@@ -34,58 +34,60 @@
         loop.at(end, functools.partial(_restore, simulation, names))
         return
     factor = disturbance.factor
-    loop.at(at, functools.partial(_slow, simulation, names, factor))
-    loop.at(end, functools.partial(_slow, simulation, names, 1.0))
+    loop.at(at, functools.partial(_set_slowdown, simulation, names, factor))
+    loop.at(end, functools.partial(_set_slowdown, simulation, names, 1.0))
 
 
-def _lose_broker(simulation: "Simulation") -> None:
-    """A successor knows only what runs, told by the gateways."""
+def _replace_broker(simulation: "Simulation") -> None:
+    """Replaces the broker; gateways report their running requests to it."""
     attempts = simulation.attempts.values()
-    open_ones = [attempt for attempt in attempts if not attempt.is_over]
+    active = [attempt for attempt in attempts if not attempt.is_over]
     simulation.policy = simulation.new_policy()
-    for attempt in open_ones:
-        if attempt.run is not None:
+    for attempt in active:
+        if attempt.engine_request is not None:
             sent = UnbrokeredRequest(
                 key=attempt.key,
                 endpoint=attempt.engine.name,
-                prefill_tokens=attempt.run.unread,
-                memory_tokens=attempt.run.own_tokens,
+                prefill_tokens=attempt.engine_request.remaining_prefill,
+                memory_tokens=attempt.engine_request.own_tokens,
                 workspace=attempt.record.request.workspace,
-                output_tokens=attempt.record.request.most_tokens,
+                output_tokens=attempt.record.request.max_output_tokens,
             )
             simulation.policy.add_unbrokered(sent, simulation.loop.now)
-    for attempt in open_ones:
-        if attempt.run is None:
-            simulation.ask(attempt)
+    for attempt in active:
+        if attempt.engine_request is None:
+            simulation.submit(attempt)
 
 
 def _crash(simulation: "Simulation", names: list[str]) -> None:
-    lost = []
+    interrupted = []
     for name in names:
         simulation.down.add(name)
-        lost += simulation.engines[name].crash()
-    _tell_engines_soon(simulation)
-    for run in lost:
-        attempt = simulation.by_run.pop(id(run), None)
+        interrupted += simulation.engines[name].crash()
+    _update_engines_after_detection(simulation)
+    for request in interrupted:
+        attempt = simulation.by_engine_request.pop(id(request), None)
         if attempt is not None:
-            simulation.end(attempt, Outcome.FAILED)
+            simulation.finish(attempt, Outcome.FAILED)
 
 
 def _restore(simulation: "Simulation", names: list[str]) -> None:
     simulation.down.difference_update(names)
-    _tell_engines_soon(simulation)
+    _update_engines_after_detection(simulation)
 
 
-def _tell_engines_soon(simulation: "Simulation") -> None:
-    def tell() -> None:
+def _update_engines_after_detection(simulation: "Simulation") -> None:
+    def update() -> None:
         simulation.policy.set_engines(
             name for name in simulation.engines if name not in simulation.down
         )
-        simulation.pump()
+        simulation.dispatch()
 
-    simulation.loop.after(DETECTION_MS, tell)
+    simulation.loop.after(DETECTION_MS, update)
 
 
-def _slow(simulation: "Simulation", names: list[str], factor: float) -> None:
+def _set_slowdown(
+    simulation: "Simulation", names: list[str], factor: float
+) -> None:
     for name in names:
-        simulation.engines[name].slowness = factor
+        simulation.engines[name].slowdown = factor
--- a/packages/standin/src/marjoramyard/standin/experiment/engine_model.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/engine_model.py
@@ -1,8 +1,8 @@
-"""A discrete-event model of one engine that batches requests.
+"""A discrete-event model of one engine with continuous batching.
 
-Each step gives every running request a token and reads a chunk of the
-prompts that wait to be read, in order of arrival. So a long prompt slows the
-tokens of all that run beside it, which is what placement has to predict.
+Each step generates one token for every decoding request and prefills a chunk
+of the pending prompts in order of arrival. A long prompt therefore slows down
+all requests of the batch.
 """
 
 from collections.abc import Callable
@@ -13,23 +13,23 @@
 from marjoramyard.standin.experiment.engine_memory import EngineMemory
 
 
-class EngineSpeeds(msgspec.Struct, frozen=True, kw_only=True):
-    """How fast an engine is, and how large.
+class EngineParameters(msgspec.Struct, frozen=True, kw_only=True):
+    """Size and speed of an engine.
 
     Attributes:
-        slots: Requests in a batch.
-        memory_tokens: Tokens that runs and kept parts share.
-        step_ms: A step in which nothing is read.
-        context_ms_per_k: Added to a step for a thousand tokens of context.
-        read_tokens_per_ms: Prompt tokens read in a millisecond.
-        pair_ms_per_m: Added for a million pairs of a token that is read and
-            one before it: long prompts cost the square of their length.
-        chunk_tokens: The most prompt tokens of a step.
-        entry_ms: From arrival until a request can be read.
-        event_tokens: Tokens in one event of a stream.
+        slots: Largest batch, in requests.
+        memory_tokens: Memory for active requests and cached prompt parts.
+        step_ms: Duration of a step without prefill and context.
+        context_ms_per_k: Added per thousand tokens of decoding context.
+        read_tokens_per_ms: Prompt tokens prefilled per millisecond.
+        pair_ms_per_m: Added per million pairs of a prefilled token and one
+            that precedes it (attention is quadratic in prompt length).
+        chunk_tokens: Largest number of prompt tokens prefilled in a step.
+        entry_ms: Time from arrival until a request is queued for a slot.
+        event_tokens: Tokens per event of a stream.
         token_bytes: Memory of one token.
-        link_mbps: The rate of transfers between engines.
-        fetch_setup_ms: Before the first byte of a transfer.
+        link_mbps: Bandwidth between engines in megabits per second.
+        fetch_setup_ms: Latency of a transfer between engines.
     """
 
     slots: int = 64
@@ -46,18 +46,19 @@
     fetch_setup_ms: float = 2.7
 
     def fetch_ms(self, tokens: float) -> float:
-        """Returns how long a transfer of kept tokens takes."""
+        """Returns the duration of a transfer of cached tokens."""
         bits = tokens * self.token_bytes * 8
         return self.fetch_setup_ms + bits / (self.link_mbps * 1000)
 
 
-class ModelRun:
+class SimulatedRequest:
     """One request at an engine.
 
     Attributes:
-        unread: Prompt tokens that are still to be read.
-        context: Prompt tokens read or kept, and tokens written.
-        written: Tokens written so far.
+        remaining_prefill: Prompt tokens that are not prefilled yet.
+        context: Prompt tokens prefilled or cached, and generated tokens.
+        generated_tokens: Tokens generated so far.
+        own_tokens: Memory occupied beside the shared parts, in tokens.
     """
 
     def __init__(
@@ -72,190 +73,215 @@
         self.output_tokens = output_tokens
         self.fetches = fetches
         self.prompt_tokens = sum(part.tokens for part in parts)
-        self.unread = float(self.prompt_tokens)
+        self.remaining_prefill = float(self.prompt_tokens)
         self.context = 0.0
-        self.written = 0
+        self.generated_tokens = 0
         self.own_tokens = 0.0
-        self.is_gone = False
+        self.is_cancelled = False
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have too."""
+    def shared_parts(self) -> tuple[PromptPart, ...]:
+        """All parts but the last, which no other request has."""
         return self.parts[:-1]
 
 
-class ModelEngine:
-    """Runs requests step by step.
+class SimulatedEngine:
+    """Runs batches of requests step by step.
 
     Attributes:
-        on_event: Called with a run at each event of its stream.
-        on_end: Called with a run after its last event.
-        slowness: How many times longer than usual each step takes.
+        schedule: Runs a callback at a time of the simulation.
+        on_event: Called with a request and the time of each of its events.
+        on_end: Called with a request and the time of its last event.
+        queue: Requests that wait for a slot and memory.
+        prefilling: Requests of the batch in their prefill phase.
+        decoding: Requests of the batch that generate tokens.
+        slowdown: Factor by which steps take longer than usual.
+        incarnation: Number of crashes so far.
+        shared_prefilled_tokens: Tokens of shared parts that were prefilled
+            because they were not cached.
     """
 
     def __init__(
         self,
         name: str,
-        speeds: EngineSpeeds,
+        parameters: EngineParameters,
         schedule: Callable[[float, Callable[[], None]], None],
-        on_event: Callable[[ModelRun, float], None],
-        on_end: Callable[[ModelRun, float], None],
+        on_event: Callable[[SimulatedRequest, float], None],
+        on_end: Callable[[SimulatedRequest, float], None],
     ):
         self.name = name
-        self.speeds = speeds
+        self.parameters = parameters
         self.schedule = schedule
         self.on_event = on_event
         self.on_end = on_end
-        self.memory = EngineMemory(speeds.memory_tokens)
-        self.waiting: list[ModelRun] = []
-        self.reading: list[ModelRun] = []
-        self.writing: list[ModelRun] = []
-        self.slowness = 1.0
+        self.memory = EngineMemory(parameters.memory_tokens)
+        self.queue: list[SimulatedRequest] = []
+        self.prefilling: list[SimulatedRequest] = []
+        self.decoding: list[SimulatedRequest] = []
+        self.slowdown = 1.0
         self.is_stepping = False
-        self.lifetime = 0
+        self.incarnation = 0
         self.busy_ms = 0.0
-        self.reading_ms = 0.0
-        self.tokens_read = 0.0
-        self.shared_tokens_read = 0.0
-        self.preempted = 0
+        self.prefill_ms = 0.0
+        self.prefilled_tokens = 0.0
+        self.shared_prefilled_tokens = 0.0
+        self.preemptions = 0
 
-    def submit(self, run: ModelRun, now: float) -> None:
-        """Takes in a request that has just arrived."""
-        lifetime = self.lifetime
+    def submit(self, request: SimulatedRequest, now: float) -> None:
+        """Accepts a request that has just arrived."""
+        incarnation = self.incarnation
 
-        def enter() -> None:
-            if not run.is_gone and lifetime == self.lifetime:
-                self.waiting.append(run)
-                self._wake(now + self.speeds.entry_ms)
+        def enqueue() -> None:
+            if not request.is_cancelled and incarnation == self.incarnation:
+                self.queue.append(request)
+                self._start_stepping(now + self.parameters.entry_ms)
 
-        self.schedule(now + self.speeds.entry_ms, enter)
+        self.schedule(now + self.parameters.entry_ms, enqueue)
 
-    def _wake(self, now: float) -> None:
+    def _start_stepping(self, now: float) -> None:
         if not self.is_stepping:
             self._begin_step(now)
 
-    def cancel(self, run: ModelRun) -> None:
-        """The sender has closed the connection of a run."""
-        run.is_gone = True
-        if run in self.waiting:
-            self.waiting.remove(run)
-        for group in (self.reading, self.writing):
-            if run in group:
-                group.remove(run)
-                self._free(run)
+    def cancel(self, request: SimulatedRequest) -> None:
+        """Removes a request whose connection was closed."""
+        request.is_cancelled = True
+        if request in self.queue:
+            self.queue.remove(request)
+        for group in (self.prefilling, self.decoding):
+            if request in group:
+                group.remove(request)
+                self._release_memory(request)
 
-    def crash(self) -> list[ModelRun]:
-        """Ends all runs and forgets all parts; returns the runs."""
-        lost = [*self.waiting, *self.reading, *self.writing]
-        for run in lost:
-            run.is_gone = True
-        self.waiting, self.reading, self.writing = [], [], []
+    def crash(self) -> list[SimulatedRequest]:
+        """Drops all requests and cached parts; returns the requests."""
+        lost = [*self.queue, *self.prefilling, *self.decoding]
+        for request in lost:
+            request.is_cancelled = True
+        self.queue, self.prefilling, self.decoding = [], [], []
         self.memory.clear()
-        self.lifetime += 1
+        self.incarnation += 1
         return lost
 
     def _admit(self) -> None:
-        while self.waiting:
-            if len(self.reading) + len(self.writing) >= self.speeds.slots:
+        while self.queue:
+            if (
+                len(self.prefilling) + len(self.decoding)
+                >= self.parameters.slots
+            ):
                 return
-            run = self.waiting[0]
-            kept = self.memory.leading_tokens(run.parts)
-            # The last token is always read: it makes the first one written.
-            run.context = float(min(kept, run.prompt_tokens - 1))
-            run.unread = run.prompt_tokens - run.context
-            shared = sum(part.tokens for part in run.shared)
-            self.shared_tokens_read += max(0.0, shared - kept)
-            run.own_tokens = float(run.prompt_tokens - shared)
-            self.memory.hold(run.shared)
-            self.memory.run_tokens += run.own_tokens
-            if not self.memory.make_room():
-                self._free(run)
-                if self.reading or self.writing:
+            request = self.queue[0]
+            cached = self.memory.leading_tokens(request.parts)
+            # The last prompt token is always prefilled: it yields the first
+            # generated token.
+            request.context = float(min(cached, request.prompt_tokens - 1))
+            request.remaining_prefill = request.prompt_tokens - request.context
+            shared = sum(part.tokens for part in request.shared_parts)
+            self.shared_prefilled_tokens += max(0.0, shared - cached)
+            request.own_tokens = float(request.prompt_tokens - shared)
+            self.memory.pin(request.shared_parts)
+            self.memory.active_tokens += request.own_tokens
+            if not self.memory.evict_unpinned():
+                self._release_memory(request)
+                if self.prefilling or self.decoding:
                     return
-                self.memory.run_tokens += run.own_tokens
-                self.memory.hold(run.shared)
-            self.waiting.pop(0)
-            self.reading.append(run)
+                self.memory.active_tokens += request.own_tokens
+                self.memory.pin(request.shared_parts)
+            self.queue.pop(0)
+            self.prefilling.append(request)
 
-    def _free(self, run: ModelRun) -> None:
-        self.memory.release(run.shared)
-        self.memory.run_tokens -= run.own_tokens
-        run.own_tokens = 0.0
+    def _release_memory(self, request: SimulatedRequest) -> None:
+        self.memory.unpin(request.shared_parts)
+        self.memory.active_tokens -= request.own_tokens
+        request.own_tokens = 0.0
 
     def _begin_step(self, now: float) -> None:
         self._admit()
-        if not self.reading and not self.writing:
+        if not self.prefilling and not self.decoding:
             self.is_stepping = False
             return
         self.is_stepping = True
-        speeds = self.speeds
-        budget = float(speeds.chunk_tokens)
-        read, pairs = 0.0, 0.0
-        for run in self.reading:
-            chunk = min(budget, run.unread)
-            pairs += chunk * (run.context + chunk / 2)
-            run.context += chunk
-            run.unread -= chunk
-            read += chunk
+        parameters = self.parameters
+        budget = float(parameters.chunk_tokens)
+        prefilled, pairs = 0.0, 0.0
+        for request in self.prefilling:
+            chunk = min(budget, request.remaining_prefill)
+            pairs += chunk * (request.context + chunk / 2)
+            request.context += chunk
+            request.remaining_prefill -= chunk
+            prefilled += chunk
             budget -= chunk
             if budget <= 0:
                 break
-        context = sum(run.context for run in self.writing)
-        reading_ms = (
-            read / speeds.read_tokens_per_ms
-            + pairs * speeds.pair_ms_per_m / 1e6
+        context = sum(request.context for request in self.decoding)
+        prefill_ms = (
+            prefilled / parameters.read_tokens_per_ms
+            + pairs * parameters.pair_ms_per_m / 1e6
         )
-        step_ms = speeds.step_ms + context * speeds.context_ms_per_k / 1000
-        spent = (step_ms + reading_ms) * self.slowness
-        self.busy_ms += spent
-        self.reading_ms += reading_ms * self.slowness
-        self.tokens_read += read
-        end = now + spent
-        lifetime = self.lifetime
+        step_ms = (
+            parameters.step_ms + context * parameters.context_ms_per_k / 1000
+        )
+        duration_ms = (step_ms + prefill_ms) * self.slowdown
+        self.busy_ms += duration_ms
+        self.prefill_ms += prefill_ms * self.slowdown
+        self.prefilled_tokens += prefilled
+        end = now + duration_ms
+        incarnation = self.incarnation
 
-        def finish() -> None:
-            if lifetime == self.lifetime:
+        def finish_step() -> None:
+            if incarnation == self.incarnation:
                 self._end_step(end)
             else:
                 self.is_stepping = False
-                self._wake(end)
+                self._start_stepping(end)
 
-        self.schedule(end, finish)
+        self.schedule(end, finish_step)
 
     def _end_step(self, now: float) -> None:
-        done = [run for run in self.reading if run.unread <= 0]
-        if done:
-            self.reading = [run for run in self.reading if run.unread > 0]
+        prefilled = [
+            request
+            for request in self.prefilling
+            if request.remaining_prefill <= 0
+        ]
+        if prefilled:
+            self.prefilling = [
+                request
+                for request in self.prefilling
+                if request.remaining_prefill > 0
+            ]
         ended = []
-        for run in self.writing:
-            run.written += 1
-            run.context += 1
-            run.own_tokens += 1
-            is_last = run.written >= run.output_tokens
-            if is_last or (run.written - 1) % self.speeds.event_tokens == 0:
-                self.on_event(run, now)
+        for request in self.decoding:
+            request.generated_tokens += 1
+            request.context += 1
+            request.own_tokens += 1
+            is_last = request.generated_tokens >= request.output_tokens
+            if (
+                is_last
+                or (request.generated_tokens - 1) % self.parameters.event_tokens
+                == 0
+            ):
+                self.on_event(request, now)
             if is_last:
-                ended.append(run)
-        self.memory.run_tokens += len(self.writing)
-        for run in done:
-            run.written += 1
-            self.on_event(run, now)
-            if run.written >= run.output_tokens:
-                self._free(run)
-                self.on_end(run, now)
+                ended.append(request)
+        self.memory.active_tokens += len(self.decoding)
+        for request in prefilled:
+            request.generated_tokens += 1
+            self.on_event(request, now)
+            if request.generated_tokens >= request.output_tokens:
+                self._release_memory(request)
+                self.on_end(request, now)
             else:
-                self.writing.append(run)
-        for run in ended:
-            self.writing.remove(run)
-            self._free(run)
-            self.on_end(run, now)
-        self._relieve_memory()
+                self.decoding.append(request)
+        for request in ended:
+            self.decoding.remove(request)
+            self._release_memory(request)
+            self.on_end(request, now)
+        self._preempt_until_memory_fits()
         self._begin_step(now)
 
-    def _relieve_memory(self) -> None:
-        """Preempts the newest run while memory is short; it is read anew."""
-        while not self.memory.make_room() and len(self.writing) > 1:
-            run = self.writing.pop()
-            self._free(run)
-            self.preempted += 1
-            self.waiting.insert(0, run)
+    def _preempt_until_memory_fits(self) -> None:
+        """Preempts the newest requests; they are queued and prefilled again."""
+        while not self.memory.evict_unpinned() and len(self.decoding) > 1:
+            request = self.decoding.pop()
+            self._release_memory(request)
+            self.preemptions += 1
+            self.queue.insert(0, request)
--- a/packages/standin/src/marjoramyard/standin/experiment/event_loop.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/event_loop.py
@@ -1,4 +1,4 @@
-"""The clock of a play: what happens next."""
+"""The event queue and clock of a simulation."""
 
 import heapq
 import itertools
@@ -6,23 +6,27 @@
 
 
 class EventLoop:
-    """Runs callbacks in the order of their times, in milliseconds."""
+    """Runs callbacks in the order of their times, in milliseconds.
+
+    Attributes:
+        now: The current time of the simulation.
+    """
 
     def __init__(self):
         self.now = 0.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        """Runs a callback at a time; equal times keep their order."""
-        heapq.heappush(self.heap, (when, next(self.numbers), callback))
+        """Schedules a callback; those of equal times run in order of calls."""
+        heapq.heappush(self.heap, (when, next(self.sequence), callback))
 
     def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Runs a callback after some milliseconds."""
+        """Schedules a callback after a delay in milliseconds."""
         self.at(self.now + delay, callback)
 
     def run(self, until: float) -> None:
-        """Runs what happens up to a time."""
+        """Runs all callbacks up to and including a time."""
         while self.heap and self.heap[0][0] <= until:
             self.now, _, callback = heapq.heappop(self.heap)
             callback()
--- a/packages/standin/src/marjoramyard/standin/experiment/plots.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/plots.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment, for people."""
+"""Plots of the results of an experiment."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -10,37 +10,37 @@
 from matplotlib import pyplot  # noqa: E402
 
 from marjoramyard.standin.experiment.deployments import Deployment  # noqa: E402
-from marjoramyard.standin.experiment.runner import Seen, Summary  # noqa: E402
+from marjoramyard.standin.experiment.runner import RunResult, Summary  # noqa: E402
 
 _SIZE_INCHES = (12, 9)
-_PARTS = ("goal", "whole", "windows", "workspaces")
+_SCORES = ("goal", "whole", "windows", "workspaces")
 
 
 def draw(
     deployment: Deployment,
-    seen: list[Seen],
+    results: list[RunResult],
     summaries: list[Summary],
     path: Path,
 ) -> None:
-    """Draws service, first tokens, pauses and refusals by policy."""
+    """Plots scores, times to first event, gaps and refusals by policy."""
     figure, axes = pyplot.subplots(2, 2, figsize=_SIZE_INCHES)
     figure.suptitle(f"{deployment.name}, {summaries[0].seeds} seeds")
-    _draw_parts(axes[0][0], summaries)
+    _draw_scores(axes[0][0], summaries)
     objectives = {kind.name: kind.objective_ms for kind in deployment.kinds}
-    pauses = {kind.name: kind.gap_ms for kind in deployment.kinds}
-    _draw_shares(
+    gaps = {kind.name: kind.gap_ms for kind in deployment.kinds}
+    _draw_distribution(
         axes[0][1],
-        seen,
+        results,
         "first event / objective",
-        lambda one: _relative(one.first_ms, objectives),
+        lambda result: _relative(result.first_ms, objectives),
     )
-    _draw_shares(
+    _draw_distribution(
         axes[1][0],
-        seen,
-        "longest pause / objective",
-        lambda one: _relative(one.gap_ms, pauses),
+        results,
+        "longest gap / objective",
+        lambda result: _relative(result.gap_ms, gaps),
     )
-    _draw_refusals(axes[1][1], deployment, seen)
+    _draw_refusals(axes[1][1], deployment, results)
     figure.tight_layout()
     figure.savefig(path)
     pyplot.close(figure)
@@ -49,49 +49,53 @@
 def _relative(
     values: dict[str, list[float]], limits: dict[str, float]
 ) -> Iterator[float]:
-    """Yields milliseconds of each kind as parts of what is on time."""
+    """Yields times relative to the objective of their kind."""
     for name, times in values.items():
         for time_ms in times:
             yield time_ms / limits[name]
 
 
-def _by_policy(seen: list[Seen]) -> dict[str, list[Seen]]:
-    found: dict[str, list[Seen]] = {}
-    for one in seen:
-        found.setdefault(one.policy, []).append(one)
-    return found
+def _by_policy(results: list[RunResult]) -> dict[str, list[RunResult]]:
+    by_policy: dict[str, list[RunResult]] = {}
+    for result in results:
+        by_policy.setdefault(result.policy, []).append(result)
+    return by_policy
 
 
-def _draw_parts(axis, summaries: list[Summary]) -> None:
+def _draw_scores(axis, summaries: list[Summary]) -> None:
     width = 0.8 / len(summaries)
     for place, summary in enumerate(summaries):
-        parts = [summary.figures[name] for name in _PARTS]
+        scores = [summary.figures[name] for name in _SCORES]
         axis.bar(
-            [number + place * width for number in range(len(_PARTS))],
-            [part.mean for part in parts],
+            [number + place * width for number in range(len(_SCORES))],
+            [score.mean for score in scores],
             width,
-            yerr=[part.half_width for part in parts],
+            yerr=[score.half_width for score in scores],
             label=summary.policy,
         )
-    axis.set_xticks(range(len(_PARTS)), _PARTS)
-    axis.set_title("credit earned / owed")
+    axis.set_xticks(range(len(_SCORES)), _SCORES)
+    axis.set_title("score: worth earned / attainable")
     axis.legend(fontsize=8)
 
 
-def _draw_shares(axis, seen: list[Seen], title: str, values_of) -> None:
-    for policy, plays in _by_policy(seen).items():
-        values = sorted(value for one in plays for value in values_of(one))
+def _draw_distribution(
+    axis, results: list[RunResult], title: str, values_of
+) -> None:
+    for policy, runs in _by_policy(results).items():
+        values = sorted(value for run in runs for value in values_of(run))
         steps = [place / len(values) for place in range(len(values))]
         axis.plot(values, steps, label=policy)
     axis.axvline(1.0, color="grey", linestyle=":")
     axis.set_xlim(0, 3)
-    axis.set_title(f"share of answers below: {title}")
+    axis.set_title(f"share of responses below: {title}")
 
 
-def _draw_refusals(axis, deployment: Deployment, seen: list[Seen]) -> None:
+def _draw_refusals(
+    axis, deployment: Deployment, results: list[RunResult]
+) -> None:
     bins = range(int(deployment.seconds) + 1)
-    for policy, plays in _by_policy(seen).items():
-        times = [at for one in plays for at in one.refused_at]
-        weights = [1.0 / len(plays)] * len(times)
+    for policy, runs in _by_policy(results).items():
+        times = [at for run in runs for at in run.refused_at]
+        weights = [1.0 / len(runs)] * len(times)
         axis.hist(times, bins, weights=weights, histtype="step", label=policy)
-    axis.set_title("refused or failed for good, by second of arrival")
+    axis.set_title("requests not served, by second of arrival")
--- a/packages/standin/src/marjoramyard/standin/experiment/policies.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/policies.py
@@ -1,4 +1,4 @@
-"""Policies of placement by name, and the simple ones to compare with."""
+"""The placement policies that experiments can compare, by name."""
 
 import random
 from collections.abc import Callable
@@ -19,46 +19,46 @@
 from marjoramyard.kernel.registry import Registry
 from marjoramyard.standin.experiment.deployments import Deployment
 
-READ_SHARE = 1.8
-"""What a gateway takes of the configured throughput as the rate of reading."""
+PREFILL_SHARE = 1.8
+"""Initial prefill rate relative to the configured throughput."""
 
 
 class Policy(Protocol):
-    """What decides; the product's broker is one."""
+    """A placement policy, with the interface of the broker."""
 
     def set_engines(self, usable) -> None:
-        """Says which engines take work now."""
+        """Sets the engines that accept requests."""
 
     def submit(
-        self, ask: PlacementRequest, now: float
+        self, request: PlacementRequest, now: float
     ) -> PlacementRefusal | None:
-        """Takes in a request."""
+        """Queues a request, or refuses it at once."""
 
     def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
-        """Decides what may be decided now."""
+        """Returns the grants and refusals that are due."""
 
     def record_first_token(self, key: str, now: float) -> None:
-        """The first event of a request came."""
+        """Records the arrival of a request's first event."""
 
     def finish(self, key: str) -> None:
-        """A request is no longer at its engine."""
+        """Records that a request has ended at its engine."""
 
     def cancel(self, key: str) -> None:
-        """The caller of a waiting request has left."""
+        """Removes a queued request whose caller has left."""
 
     def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
-        """Counts a request that was sent under another broker."""
+        """Adds a request that was sent without a grant of this policy."""
 
     def expire(self, now: float) -> list[PlacementRefusal]:
-        """Refuses what waits although its caller's time is over."""
+        """Returns refusals of queued requests whose deadline has passed."""
 
 
 PolicyMaker = Callable[[Deployment, random.Random], Policy]
 POLICIES: Registry[PolicyMaker] = Registry("policy")
 
 
-def profile_of(deployment: Deployment) -> EngineProfile:
-    """Returns what a configuration says of the engines."""
+def engine_profile(deployment: Deployment) -> EngineProfile:
+    """Returns the engine profile of the deployment's configuration."""
     speeds = deployment.speeds
     return EngineProfile(
         slots=speeds.slots,
@@ -68,14 +68,14 @@
     )
 
 
-def configured_rate(deployment: Deployment) -> float:
-    """Returns the rate of reading that a broker begins with."""
-    each = deployment.tokens_per_s / deployment.engines
-    return READ_SHARE * each / 1000
+def configured_prefill_rate(deployment: Deployment) -> float:
+    """Returns an engine's initial prefill rate in tokens per millisecond."""
+    per_engine = deployment.tokens_per_s / deployment.engines
+    return PREFILL_SHARE * per_engine / 1000
 
 
 class ImmediatePolicy:
-    """Sends each request at once to an engine that `choose` names."""
+    """Base of policies that grant each request at once, without a queue."""
 
     def __init__(self, deployment: Deployment, rng: random.Random):
         self.deployment = deployment
@@ -85,83 +85,83 @@
         self.in_flight: dict[str, str] = {}
         self.granted: list[PlacementGrant] = []
 
-    def choose(self, ask: PlacementRequest) -> str:
-        """Returns an engine."""
+    def choose(self, request: PlacementRequest) -> str:
+        """Returns the name of an engine for a request."""
         raise NotImplementedError
 
     def set_engines(self, usable) -> None:
-        """Says which engines take work now."""
+        """Sets the engines that accept requests."""
         self.engines = sorted(usable)
 
     def submit(
-        self, ask: PlacementRequest, now: float
+        self, request: PlacementRequest, now: float
     ) -> PlacementRefusal | None:
-        """Grants at once."""
+        """Grants the request at once; refuses it if there is no engine."""
         if not self.engines:
-            return PlacementRefusal(ask.key, 400.0, 0.0)
-        engine = self.choose(ask)
-        self.in_flight[ask.key] = engine
+            return PlacementRefusal(request.key, 400.0, 0.0)
+        engine = self.choose(request)
+        self.in_flight[request.key] = engine
         self.running[engine] = self.running.get(engine, 0) + 1
         self.granted.append(
-            PlacementGrant(ask.key, engine, "", ask.prompt_tokens)
+            PlacementGrant(request.key, engine, "", request.prompt_tokens)
         )
         return None
 
     def dispatch(self, now: float) -> list[PlacementGrant | PlacementRefusal]:
-        """Returns what was granted."""
+        """Returns the grants since the last call."""
         granted, self.granted = self.granted, []
         return granted
 
     def record_first_token(self, key: str, now: float) -> None:
-        """Is of no use here."""
+        """Does nothing, as the policy does not use it."""
 
     def finish(self, key: str) -> None:
-        """Counts an end."""
+        """Records that a request has ended at its engine."""
         engine = self.in_flight.pop(key, None)
         if engine is not None:
             self.running[engine] -= 1
 
     def cancel(self, key: str) -> None:
-        """Nothing waits here."""
+        """Does nothing, as no request is queued."""
 
     def add_unbrokered(self, sent: UnbrokeredRequest, now: float) -> None:
-        """Counts a request that was sent under another broker."""
+        """Adds a request that was sent without a grant of this policy."""
         self.in_flight[sent.key] = sent.endpoint
         running = self.running.get(sent.endpoint, 0)
         self.running[sent.endpoint] = running + 1
 
     def expire(self, now: float) -> list[PlacementRefusal]:
-        """Nothing waits here."""
+        """Returns nothing, as no request is queued."""
         return []
 
 
 @POLICIES.register("random")
 class RandomPolicy(ImmediatePolicy):
-    """Any engine."""
+    """Chooses an engine at random."""
 
-    def choose(self, ask: PlacementRequest) -> str:
-        """Returns an engine."""
+    def choose(self, request: PlacementRequest) -> str:
+        """Returns the name of an engine for a request."""
         return self.rng.choice(self.engines)
 
 
 @POLICIES.register("round-robin")
 class RoundRobinPolicy(ImmediatePolicy):
-    """One engine after the other."""
+    """Chooses the engines in turn."""
 
     turn = 0
 
-    def choose(self, ask: PlacementRequest) -> str:
-        """Returns an engine."""
+    def choose(self, request: PlacementRequest) -> str:
+        """Returns the name of an engine for a request."""
         self.turn += 1
         return self.engines[self.turn % len(self.engines)]
 
 
 @POLICIES.register("least-connections")
 class LeastConnectionsPolicy(ImmediatePolicy):
-    """The engine with the fewest requests."""
+    """Chooses the engine with the fewest requests in flight."""
 
-    def choose(self, ask: PlacementRequest) -> str:
-        """Returns an engine."""
+    def choose(self, request: PlacementRequest) -> str:
+        """Returns the name of an engine for a request."""
         return min(
             self.engines,
             key=lambda name: (self.running.get(name, 0), self.rng.random()),
@@ -170,15 +170,17 @@
 
 @POLICIES.register("prefix-hash")
 class PrefixHashPolicy(ImmediatePolicy):
-    """The home of the request's most particular shared part."""
+    """Chooses the preferred engine of the most specific shared part."""
 
-    def choose(self, ask: PlacementRequest) -> str:
-        """Returns an engine."""
-        key, _, _ = split_parts(ask.parts)
+    def choose(self, request: PlacementRequest) -> str:
+        """Returns the name of an engine for a request."""
+        key, _, _ = split_parts(request.parts)
         return preferred_engine(key, self.engines)
 
 
 @POLICIES.register("broker")
 def make_broker(deployment: Deployment, rng: random.Random) -> Broker:
-    """Returns the product's broker."""
-    return Broker(profile_of(deployment), configured_rate(deployment))
+    """Returns the broker that gateways use."""
+    return Broker(
+        engine_profile(deployment), configured_prefill_rate(deployment)
+    )
--- a/packages/standin/src/marjoramyard/standin/experiment/report.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/report.py
@@ -1,4 +1,4 @@
-"""Plays an experiment with a progress bar, and shows what came of it."""
+"""Runs an experiment with a progress bar and reports its results."""
 
 import sys
 from pathlib import Path
@@ -12,9 +12,9 @@
 )
 from marjoramyard.standin.experiment.policies import POLICIES
 from marjoramyard.standin.experiment.runner import (
-    Seen,
+    RunResult,
     Summary,
-    play_all,
+    run_all,
     summarize,
 )
 
@@ -31,35 +31,35 @@
 COLUMN_WIDTH = 20
 
 
-def play_with_progress(
+def run_with_progress(
     path: Path, policies: list[str], seeds: list[int], jobs: int
-) -> tuple[Deployment, list[Seen]]:
-    """Plays each policy with each seed; the bar goes to standard error.
+) -> tuple[Deployment, list[RunResult]]:
+    """Runs each policy with each seed, with progress on standard error.
 
     Raises:
-        KeyError: A policy isn't known; the message lists those there are.
-        UnreadableDeploymentError: The description can't be read.
+        KeyError: A policy is unknown; the message lists the known ones.
+        InvalidDeploymentError: The deployment file is invalid.
     """
     for policy in policies:
         POLICIES.get(policy)
-    described = read_deployment(path)
+    deployment = read_deployment(path)
     total = len(policies) * len(seeds)
-    with click.progressbar(length=total, label="plays", file=sys.stderr) as bar:
-        seen = play_all(
-            described, policies, seeds, jobs, lambda _: bar.update(1)
+    with click.progressbar(length=total, label="runs", file=sys.stderr) as bar:
+        results = run_all(
+            deployment, policies, seeds, jobs, lambda _: bar.update(1)
         )
-    return described, seen
+    return deployment, results
 
 
-def show(seen: list[Seen], as_json: bool) -> None:
-    """Writes a summary of each policy to standard output."""
-    summaries = list(summarize(seen))
+def print_summaries(results: list[RunResult], as_json: bool) -> None:
+    """Prints a summary of each policy as a table or as JSON."""
+    summaries = list(summarize(results))
     if as_json:
         click.echo(msgspec.json.encode(summaries).decode())
         return
     width = max(len(summary.policy) for summary in summaries)
-    head = "".join(f"{name:>{COLUMN_WIDTH}}" for name in COLUMNS)
-    click.echo(f"{'policy':<{width}}{head}")
+    header = "".join(f"{name:>{COLUMN_WIDTH}}" for name in COLUMNS)
+    click.echo(f"{'policy':<{width}}{header}")
     for summary in summaries:
         click.echo(f"{summary.policy:<{width}}{_row(summary)}")
 
@@ -70,10 +70,12 @@
     )
 
 
-def draw_plot(described: Deployment, seen: list[Seen], plot: Path) -> None:
-    """Draws the plots into a file."""
-    # The plotting library takes half a second to load.
+def draw_plot(
+    deployment: Deployment, results: list[RunResult], plot: Path
+) -> None:
+    """Writes the plots to an image file."""
+    # Imported here because matplotlib is slow to load.
     from marjoramyard.standin.experiment.plots import draw
 
-    draw(described, seen, list(summarize(seen)), plot)
-    click.echo(f"drawn: {plot}", err=True)
+    draw(deployment, results, list(summarize(results)), plot)
+    click.echo(f"plots written to {plot}", err=True)
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation.py
@@ -1,7 +1,7 @@
-"""Plays a deployment's load: callers, gateways, a broker, engines.
+"""Simulates a deployment under load: callers, gateways, broker and engines.
 
-What travels takes the time of the hops between zones, so the broker decides
-with news as old as in a real fleet.
+Messages take the latency of the hops between zones, so the broker decides on
+state that is as old as in a real fleet.
 """
 
 import random
@@ -13,33 +13,47 @@
 )
 from marjoramyard.standin.experiment.deployments import Deployment
 from marjoramyard.standin.experiment.disturbances import schedule
-from marjoramyard.standin.experiment.engine_model import ModelEngine, ModelRun
+from marjoramyard.standin.experiment.engine_model import (
+    SimulatedEngine,
+    SimulatedRequest,
+)
 from marjoramyard.standin.experiment.event_loop import EventLoop
 from marjoramyard.standin.experiment.policies import POLICIES, Policy
 from marjoramyard.standin.experiment.scoring import (
     Outcome,
-    Record,
-    count,
+    RequestRecord,
+    score_run,
+)
+from marjoramyard.standin.experiment.simulation_run import (
+    Attempt,
+    ResourceUsage,
+    SimulationRun,
 )
-from marjoramyard.standin.experiment.simulation_run import Attempt, Play, Tally
 from marjoramyard.standin.experiment.workloads import Request, Workload
 
-CALLER_MS = 1.0
-"""One way between a caller and its gateway."""
-HANDLING_MS = 1.0
-"""What a gateway takes for a request."""
-BEAT_MS = 100.0
-"""A broker looks at the clock so often."""
-SETTLE_MS = 20_000.0
-"""After the last arrival the play goes on for so long."""
-RETRY_SPREAD = 0.5
-"""Refused callers return over this share around what they are told."""
-PATIENCE_SHARE = 1 / 3
-"""Callers wait no longer than this part of the time that they have."""
+CALLER_HOP_MS = 1.0
+"""One-latency_ms latency between a caller and its gateway."""
+GATEWAY_PROCESSING_MS = 1.0
+"""Time that a gateway spends on a request before it asks the broker."""
+DISPATCH_INTERVAL_MS = 100.0
+"""Interval at which the broker dispatches and expires requests."""
+DRAIN_MS = 20_000.0
+"""Time simulated after the last arrival."""
+RETRY_JITTER = 0.5
+"""Width of the jitter of retry delays, relative to the delay."""
+MAX_RETRY_WAIT_SHARE = 1 / 3
+"""Upper limit of a retry delay, relative to the time until the deadline."""
 
 
 class Simulation:
-    """Callers, gateways, one broker and its engines."""
+    """One run of a deployment under a placement policy.
+
+    Attributes:
+        attempts: Attempts whose end the broker does not know yet, by key.
+        by_engine_request: Attempts by the id of their request at an engine.
+        zones: Zone of each engine. The broker is in zone 0.
+        down: Engines that have crashed.
+    """
 
     def __init__(self, deployment: Deployment, policy: str, seed: int):
         self.deployment = deployment
@@ -47,14 +61,15 @@
         self.rng = random.Random(seed + 1)
         self.loop = EventLoop()
         self.seed = seed
-        self.numbers = 0
+        self.attempt_count = 0
         self.records = [
-            Record(request) for request in Workload(deployment, seed).requests()
+            RequestRecord(request)
+            for request in Workload(deployment, seed).requests()
         ]
         self.attempts: dict[str, Attempt] = {}
-        self.by_run: dict[int, Attempt] = {}
+        self.by_engine_request: dict[int, Attempt] = {}
         self.engines = {
-            f"e{number}": ModelEngine(
+            f"e{number}": SimulatedEngine(
                 f"e{number}",
                 deployment.speeds,
                 self.loop.at,
@@ -68,194 +83,218 @@
             for number, name in enumerate(self.engines)
         }
         self.down: set[str] = set()
-        self.tally = Tally()
+        self.usage = ResourceUsage()
         self.policy = self.new_policy()
 
     def new_policy(self) -> Policy:
-        """Returns a policy that knows only which engines there are."""
+        """Returns a policy without state beyond the usable engines."""
         policy = POLICIES.get(self.policy_name)(self.deployment, self.rng)
         policy.set_engines(
             name for name in self.engines if name not in self.down
         )
         return policy
 
-    def play(self) -> Play:
-        """Plays to the end and adds up."""
+    def run(self) -> SimulationRun:
+        """Runs the simulation to its end and returns the result."""
         for record in self.records:
             self.loop.at(
-                record.request.at,
-                lambda record=record: self._attempt(record),
+                record.request.arrival_ms,
+                lambda record=record: self._start_attempt(record),
             )
         for disturbance in self.deployment.disturbances:
             schedule(self, disturbance)
-        end = self.deployment.seconds * 1000 + SETTLE_MS
-        self._beat(end)
+        end = self.deployment.seconds * 1000 + DRAIN_MS
+        self._tick(end)
         self.loop.run(end)
         return self._result()
 
-    def _beat(self, end: float) -> None:
-        self.pump()
-        if self.loop.now + BEAT_MS < end:
-            self.loop.after(BEAT_MS, lambda: self._beat(end))
+    def _tick(self, end: float) -> None:
+        self.dispatch()
+        if self.loop.now + DISPATCH_INTERVAL_MS < end:
+            self.loop.after(DISPATCH_INTERVAL_MS, lambda: self._tick(end))
 
-    def _result(self) -> Play:
-        span = self.deployment.seconds * 1000 * len(self.engines)
+    def _result(self) -> SimulationRun:
+        engine_ms = self.deployment.seconds * 1000 * len(self.engines)
         engines = self.engines.values()
-        self.tally.reading_share = sum(e.reading_ms for e in engines) / span
-        self.tally.busy_share = sum(e.busy_ms for e in engines) / span
-        self.tally.preempted = sum(e.preempted for e in engines)
-        self.tally.shared_tokens_read = sum(
-            e.shared_tokens_read for e in engines
+        self.usage.prefill_utilisation = (
+            sum(e.prefill_ms for e in engines) / engine_ms
+        )
+        self.usage.utilisation = sum(e.busy_ms for e in engines) / engine_ms
+        self.usage.preemptions = sum(e.preemptions for e in engines)
+        self.usage.shared_prefilled_tokens = sum(
+            e.shared_prefilled_tokens for e in engines
         )
-        credits = count(self.records, self.deployment.tokens_per_s)
-        return Play(self.seed, credits, self.tally, self.records)
+        scores = score_run(self.records, self.deployment.tokens_per_s)
+        return SimulationRun(self.seed, scores, self.usage, self.records)
 
     # Requests.
 
     def _zone_of(self, request: Request) -> int:
         return request.gateway % self.deployment.zones
 
-    def _hop_ms(self, one: int, other: int) -> float:
-        same = one == other
-        return self.deployment.hop_ms if same else self.deployment.cross_zone_ms
+    def _hop_ms(self, zone: int, other_zone: int) -> float:
+        is_same = zone == other_zone
+        return (
+            self.deployment.hop_ms if is_same else self.deployment.cross_zone_ms
+        )
 
     def _broker_ms(self, attempt: Attempt) -> float:
         return self._hop_ms(self._zone_of(attempt.record.request), 0)
 
-    def _attempt(self, record: Record) -> None:
+    def _start_attempt(self, record: RequestRecord) -> None:
         record.attempts += 1
-        self.numbers += 1
-        attempt = Attempt(self.numbers, record, self.loop.now)
+        self.attempt_count += 1
+        attempt = Attempt(self.attempt_count, record, self.loop.now)
         self.attempts[attempt.key] = attempt
-        delay = CALLER_MS + HANDLING_MS + self._broker_ms(attempt)
-        self.loop.after(delay, lambda: self.ask(attempt))
+        delay = CALLER_HOP_MS + GATEWAY_PROCESSING_MS + self._broker_ms(attempt)
+        self.loop.after(delay, lambda: self.submit(attempt))
 
-    def ask(self, attempt: Attempt) -> None:
-        """Asks the policy for a place."""
-        refused = self.policy.submit(self._to_ask(attempt), self.loop.now)
-        if refused is not None:
-            self._tell_refusal(attempt, refused)
-        self.pump()
+    def submit(self, attempt: Attempt) -> None:
+        """Submits an attempt to the policy."""
+        refusal = self.policy.submit(
+            self._placement_request(attempt), self.loop.now
+        )
+        if refusal is not None:
+            self._on_refusal(attempt, refusal)
+        self.dispatch()
 
-    def _to_ask(self, attempt: Attempt) -> PlacementRequest:
+    def _placement_request(self, attempt: Attempt) -> PlacementRequest:
         request = attempt.record.request
         kind = request.kind
-        arrived = attempt.began_at + CALLER_MS
+        arrived = attempt.started_at + CALLER_HOP_MS
         return PlacementRequest(
             key=attempt.key,
             workspace=request.workspace,
             parts=request.parts,
-            output_tokens=request.most_tokens,
+            output_tokens=request.max_output_tokens,
             first_token_due_at=arrived + kind.objective_ms,
-            deadline_at=request.at + kind.deadline_ms,
+            deadline_at=request.arrival_ms + kind.deadline_ms,
             submitted_at=self.loop.now,
         )
 
-    def pump(self) -> None:
-        """Carries out what the policy decides now."""
+    def dispatch(self) -> None:
+        """Carries out the current decisions of the policy."""
         now = self.loop.now
-        for told in [*self.policy.expire(now), *self.policy.dispatch(now)]:
-            attempt = self.attempts.get(told.key)
+        for decision in [*self.policy.expire(now), *self.policy.dispatch(now)]:
+            attempt = self.attempts.get(decision.key)
             if attempt is None or attempt.is_over:
-                self.policy.finish(told.key)
-            elif isinstance(told, PlacementRefusal):
-                self._tell_refusal(attempt, told)
+                self.policy.finish(decision.key)
+            elif isinstance(decision, PlacementRefusal):
+                self._on_refusal(attempt, decision)
             else:
-                self._send(attempt, told)
+                self._send(attempt, decision)
 
-    def _tell_refusal(
-        self, attempt: Attempt, refused: PlacementRefusal
-    ) -> None:
-        self.tally.refused += 1
+    def _on_refusal(self, attempt: Attempt, refusal: PlacementRefusal) -> None:
+        self.usage.refusals += 1
         attempt.is_over = True
         self.attempts.pop(attempt.key, None)
         record = attempt.record
         request = record.request
         record.outcome = Outcome.REFUSED
-        way = self._broker_ms(attempt) + CALLER_MS
-        most = request.kind.retries * (3 if request.is_impatient else 1)
-        left = request.at + request.kind.deadline_ms - self.loop.now
-        if record.attempts > most or left <= 0:
+        latency_ms = self._broker_ms(attempt) + CALLER_HOP_MS
+        max_retries = request.kind.retries * (3 if request.is_impatient else 1)
+        remaining_ms = (
+            request.arrival_ms + request.kind.deadline_ms - self.loop.now
+        )
+        if record.attempts > max_retries or remaining_ms <= 0:
             return
-        spread = 1 + RETRY_SPREAD * (self.rng.random() - 0.5)
-        wait = min(refused.retry_after_ms * spread, left * PATIENCE_SHARE)
+        jitter = 1 + RETRY_JITTER * (self.rng.random() - 0.5)
+        wait = min(
+            refusal.retry_after_ms * jitter, remaining_ms * MAX_RETRY_WAIT_SHARE
+        )
         if request.is_impatient:
             wait = 0.0
-        self.loop.after(way + wait, lambda: self._attempt(record))
+        self.loop.after(latency_ms + wait, lambda: self._start_attempt(record))
 
-    def _send(self, attempt: Attempt, granted: PlacementGrant) -> None:
+    def _send(self, attempt: Attempt, grant: PlacementGrant) -> None:
         request = attempt.record.request
-        engine = self.engines[granted.endpoint]
+        engine = self.engines[grant.endpoint]
         attempt.engine = engine
-        run = ModelRun(attempt.key, request.parts, request.output_tokens)
-        attempt.run = run
-        self.by_run[id(run)] = attempt
+        engine_request = SimulatedRequest(
+            attempt.key, request.parts, request.output_tokens
+        )
+        attempt.engine_request = engine_request
+        self.by_engine_request[id(engine_request)] = attempt
         engine_zone = self.zones[engine.name]
         gateway_zone = self._zone_of(request)
         if engine_zone != gateway_zone:
-            self.tally.cross_zone_mb += request.kind.body_kb / 1000
+            self.usage.cross_zone_mb += request.kind.body_kb / 1000
         delay = self._broker_ms(attempt) + self._hop_ms(
             gateway_zone, engine_zone
         )
-        if granted.fetch_from:
-            delay += self._fetch(run, engine, granted.fetch_from)
-        self.loop.after(delay, lambda: self._arrive(attempt, run, engine))
+        if grant.fetch_from:
+            delay += self._fetch(engine_request, engine, grant.fetch_from)
+        self.loop.after(
+            delay, lambda: self._arrive(attempt, engine_request, engine)
+        )
         self.loop.at(
-            request.at + request.kind.deadline_ms,
-            lambda: self._give_up(attempt),
+            request.arrival_ms + request.kind.deadline_ms,
+            lambda: self._time_out(attempt),
         )
 
-    def _fetch(self, run: ModelRun, engine: ModelEngine, source: str) -> float:
-        there = self.engines[source].memory.leading_tokens(run.shared)
-        here = engine.memory.leading_tokens(run.shared)
-        if there <= here:
+    def _fetch(
+        self,
+        engine_request: SimulatedRequest,
+        engine: SimulatedEngine,
+        source: str,
+    ) -> float:
+        source_tokens = self.engines[source].memory.leading_tokens(
+            engine_request.shared_parts
+        )
+        present_tokens = engine.memory.leading_tokens(
+            engine_request.shared_parts
+        )
+        if source_tokens <= present_tokens:
             return 0.0
-        tokens = there - here
-        size = tokens * engine.speeds.token_bytes
-        self.tally.fetched_gb += size / 1e9
-        kept = []
-        for part in run.shared:
+        tokens = source_tokens - present_tokens
+        size = tokens * engine.parameters.token_bytes
+        self.usage.fetched_gb += size / 1e9
+        cached = []
+        for part in engine_request.shared_parts:
             if part.digest not in self.engines[source].memory.parts:
                 break
-            kept.append(part)
-        engine.memory.hold(kept)
-        engine.memory.release(kept)
-        return engine.speeds.fetch_ms(tokens)
+            cached.append(part)
+        engine.memory.pin(cached)
+        engine.memory.unpin(cached)
+        return engine.parameters.fetch_ms(tokens)
 
     def _arrive(
-        self, attempt: Attempt, run: ModelRun, engine: ModelEngine
+        self,
+        attempt: Attempt,
+        engine_request: SimulatedRequest,
+        engine: SimulatedEngine,
     ) -> None:
         if attempt.is_over:
             return
         if engine.name in self.down:
-            self.end(attempt, Outcome.FAILED)
+            self.finish(attempt, Outcome.FAILED)
             return
-        engine.submit(run, self.loop.now)
+        engine.submit(engine_request, self.loop.now)
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _time_out(self, attempt: Attempt) -> None:
         if not attempt.is_over:
-            attempt.engine.cancel(attempt.run)
-            self.end(attempt, Outcome.FAILED)
+            attempt.engine.cancel(attempt.engine_request)
+            self.finish(attempt, Outcome.FAILED)
 
-    def _on_event(self, run: ModelRun, now: float) -> None:
-        attempt = self.by_run[id(run)]
+    def _on_event(self, engine_request: SimulatedRequest, now: float) -> None:
+        attempt = self.by_engine_request[id(engine_request)]
         record = attempt.record
         if attempt.last_event_at:
             gap = now - attempt.last_event_at
             record.gap_ms = max(record.gap_ms, gap)
         else:
-            record.first_ms = now - record.request.at
-            way = self._broker_ms(attempt) + self.deployment.hop_ms
-            self.loop.after(way, lambda: self._first_token(attempt))
+            record.first_ms = now - record.request.arrival_ms
+            latency_ms = self._broker_ms(attempt) + self.deployment.hop_ms
+            self.loop.after(latency_ms, lambda: self._first_token(attempt))
         attempt.last_event_at = now
 
     def _first_token(self, attempt: Attempt) -> None:
         if not attempt.is_over:
             self.policy.record_first_token(attempt.key, self.loop.now)
-            self.pump()
+            self.dispatch()
 
-    def _on_end(self, run: ModelRun, now: float) -> None:
-        attempt = self.by_run.pop(id(run))
+    def _on_end(self, engine_request: SimulatedRequest, now: float) -> None:
+        attempt = self.by_engine_request.pop(id(engine_request))
         kind = attempt.record.request.kind
         if attempt.record.first_ms > kind.objective_ms:
             outcome = Outcome.LATE_FIRST
@@ -263,21 +302,21 @@
             outcome = Outcome.LATE_GAP
         else:
             outcome = Outcome.ON_TIME
-        self.end(attempt, outcome)
+        self.finish(attempt, outcome)
 
-    def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Ends an attempt for good."""
+    def finish(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Ends an attempt and reports the end to the broker."""
         attempt.is_over = True
         attempt.record.outcome = outcome
-        way = self._broker_ms(attempt) + self.deployment.hop_ms
-        self.loop.after(way, lambda: self._tell_end(attempt))
+        latency_ms = self._broker_ms(attempt) + self.deployment.hop_ms
+        self.loop.after(latency_ms, lambda: self._report_end(attempt))
 
-    def _tell_end(self, attempt: Attempt) -> None:
+    def _report_end(self, attempt: Attempt) -> None:
         self.attempts.pop(attempt.key, None)
         self.policy.finish(attempt.key)
-        self.pump()
+        self.dispatch()
 
 
-def play(deployment: Deployment, policy: str, seed: int) -> Play:
-    """Plays one seed."""
-    return Simulation(deployment, policy, seed).play()
+def simulate(deployment: Deployment, policy: str, seed: int) -> SimulationRun:
+    """Runs one simulation; all random numbers are drawn from the seed."""
+    return Simulation(deployment, policy, seed).run()
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation_run.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation_run.py
@@ -1,40 +1,53 @@
-"""One attempt of a request in a play, and what a play comes to."""
+"""Attempts of requests, and the result of a simulation run."""
 
 import msgspec
 
-from marjoramyard.standin.experiment.engine_model import ModelEngine, ModelRun
-from marjoramyard.standin.experiment.scoring import Credits, Record
+from marjoramyard.standin.experiment.engine_model import (
+    SimulatedEngine,
+    SimulatedRequest,
+)
+from marjoramyard.standin.experiment.scoring import RequestRecord, RunScore
 
 
-class Tally(msgspec.Struct):
-    """What a play cost beside the callers' credit."""
+class ResourceUsage(msgspec.Struct):
+    """Resources used in a run.
+
+    Attributes:
+        fetched_gb: Cached prompt parts copied between engines, in gigabytes.
+        cross_zone_mb: Request bodies sent between zones, in megabytes.
+        shared_prefilled_tokens: Tokens of shared parts that were prefilled.
+        prefill_utilisation: Share of engine time spent on prefill.
+        utilisation: Share of engine time spent on any step.
+        preemptions: Requests preempted for lack of memory.
+        refusals: Refused attempts.
+    """
 
     fetched_gb: float = 0.0
     cross_zone_mb: float = 0.0
-    shared_tokens_read: float = 0.0
-    reading_share: float = 0.0
-    busy_share: float = 0.0
-    preempted: int = 0
-    refused: int = 0
+    shared_prefilled_tokens: float = 0.0
+    prefill_utilisation: float = 0.0
+    utilisation: float = 0.0
+    preemptions: int = 0
+    refusals: int = 0
 
 
-class Play(msgspec.Struct):
-    """One play and its result."""
+class SimulationRun(msgspec.Struct):
+    """The result of a simulation run."""
 
     seed: int
-    credits: Credits
-    tally: Tally
-    records: list[Record]
+    scores: RunScore
+    usage: ResourceUsage
+    records: list[RequestRecord]
 
 
 class Attempt:
-    """One attempt of a request, until its answer has ended."""
+    """One attempt of a request, until its response has ended."""
 
-    def __init__(self, number: int, record: Record, began_at: float):
+    def __init__(self, number: int, record: RequestRecord, started_at: float):
         self.key = f"{record.request.gateway}/{number}"
         self.record = record
-        self.began_at = began_at
-        self.engine: ModelEngine | None = None
-        self.run: ModelRun | None = None
+        self.started_at = started_at
+        self.engine: SimulatedEngine | None = None
+        self.engine_request: SimulatedRequest | None = None
         self.last_event_at = 0.0
         self.is_over = False
--- a/packages/standin/src/marjoramyard/standin/experiment/workloads.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/workloads.py
@@ -1,4 +1,4 @@
-"""Draws the requests of a play from a deployment's description."""
+"""Generates the requests of a simulation run."""
 
 import bisect
 import itertools
@@ -13,11 +13,12 @@
     Deployment,
     Disturbance,
     DisturbanceKind,
-    Kind,
-    Spread,
+    LogNormal,
+    RequestKind,
 )
 
-_SWING_PERIOD_S = 11.0
+_SWING_PERIOD_SECONDS = 11.0
+"""Period of the sine wave of the load."""
 _FIRST_RANK = 1
 
 
@@ -25,74 +26,77 @@
     """One request of a caller, before its first attempt.
 
     Attributes:
-        at: Milliseconds from the start.
-        output_tokens: What the engine will write; nobody knows it before.
-        most_tokens: The most that the caller allows.
-        hint_tokens: The caller's guess.
-        is_impatient: It repeats at once, whatever it is told.
+        arrival_ms: Milliseconds from the start.
+        output_tokens: Tokens that the engine will generate, unknown to the
+            policy.
+        max_output_tokens: The caller's limit of generated tokens.
+        hint_tokens: The caller's estimate of generated tokens.
+        is_impatient: Whether the caller retries at once after a refusal.
     """
 
     number: int
-    at: float
-    kind: Kind
+    arrival_ms: float
+    kind: RequestKind
     workspace: str
     gateway: int
     parts: tuple[PromptPart, ...]
     output_tokens: int
-    most_tokens: int
+    max_output_tokens: int
     hint_tokens: int
     is_impatient: bool = False
 
     @property
-    def tokens(self) -> int:
-        """The whole prompt."""
+    def prompt_tokens(self) -> int:
+        """The length of the complete prompt."""
         return sum(part.tokens for part in self.parts)
 
     @property
     def throughput_tokens(self) -> float:
-        """What it takes of a configured throughput."""
-        return self.tokens + 2.0 * self.output_tokens
+        """The cost in units of the configured throughput."""
+        return self.prompt_tokens + 2.0 * self.output_tokens
 
     @property
     def size(self) -> float:
-        """What it asks for: a written token costs as much as ten read."""
-        return self.tokens + 10.0 * self.output_tokens
+        """The size in prompt tokens; a generated token counts as ten."""
+        return self.prompt_tokens + 10.0 * self.output_tokens
 
 
-def draw(rng: random.Random, spread: Spread) -> int:
-    """Draws a log-normal size with the given mean."""
-    if not spread.spread:
-        return max(1, round(min(spread.mean, spread.most)))
-    centre = math.log(spread.mean) - spread.spread**2 / 2
-    found = rng.lognormvariate(centre, spread.spread)
-    return max(1, round(min(found, spread.most)))
+def draw(rng: random.Random, distribution: LogNormal) -> int:
+    """Draws a size of at least 1."""
+    if not distribution.spread:
+        return max(1, round(min(distribution.mean, distribution.most)))
+    mu = math.log(distribution.mean) - distribution.spread**2 / 2
+    drawn = rng.lognormvariate(mu, distribution.spread)
+    return max(1, round(min(drawn, distribution.most)))
 
 
-class Choice:
-    """Draws a number from 0 by a Zipf law."""
+class ZipfSampler:
+    """Draws indices from 0 with a Zipf distribution."""
 
     def __init__(self, count: int, skew: float):
         weights = [
             rank**-skew for rank in range(_FIRST_RANK, count + _FIRST_RANK)
         ]
-        self.sums = list(itertools.accumulate(weights))
+        self.cumulative_weights = list(itertools.accumulate(weights))
 
     def draw(self, rng: random.Random) -> int:
-        """Returns a number; lower ones come more often."""
-        return bisect.bisect(self.sums, rng.random() * self.sums[-1])
+        """Returns an index; lower ones are more likely."""
+        return bisect.bisect(
+            self.cumulative_weights, rng.random() * self.cumulative_weights[-1]
+        )
 
 
 class Workload:
-    """Draws the arrivals of one play."""
+    """Generates the arrivals of one run as inhomogeneous Poisson processes."""
 
     def __init__(self, deployment: Deployment, seed: int):
         self.deployment = deployment
         self.rng = random.Random(seed)
-        self.things: dict[tuple[str, int, int], PromptPart] = {}
-        self.choices = {
-            (kind.name, place): Choice(part.count, part.skew)
+        self.shared_parts: dict[tuple[str, int, int], PromptPart] = {}
+        self.samplers = {
+            (kind.name, position): ZipfSampler(part.count, part.skew)
             for kind in deployment.kinds
-            for place, part in enumerate(kind.shared)
+            for position, part in enumerate(kind.shared)
         }
         ranks = range(_FIRST_RANK, deployment.workspaces + _FIRST_RANK)
         self.weights = [rank**-deployment.workspace_skew for rank in ranks]
@@ -104,65 +108,65 @@
 
     def requests(self) -> list[Request]:
         """Returns all requests in order of arrival."""
-        found = []
+        requests = []
         for kind in self.deployment.kinds:
-            found += self._of_kind(kind)
-        found.sort(key=lambda request: request.at)
-        for number, request in enumerate(found):
+            requests += self._of_kind(kind)
+        requests.sort(key=lambda request: request.arrival_ms)
+        for number, request in enumerate(requests):
             request.number = number
-        return found
+        return requests
 
-    def _of_kind(self, kind: Kind) -> list[Request]:
+    def _of_kind(self, kind: RequestKind) -> list[Request]:
         total = sum(self.weights)
-        at, found = 0.0, []
+        at, requests = 0.0, []
         end = self.deployment.seconds * 1000
         peak = self._peak(kind)
         while True:
             at += self.rng.expovariate(kind.per_s * peak) * 1000
             if at >= end:
-                return found
+                return requests
             weights = self._weights_at(at / 1000)
             factor = sum(weights) / total * self._factor(kind, at / 1000)
             if self.rng.random() * peak < factor:
-                found.append(self._draw_request(kind, at, weights))
+                requests.append(self._draw_request(kind, at, weights))
 
-    def _peak(self, kind: Kind) -> float:
+    def _peak(self, kind: RequestKind) -> float:
         seconds = range(int(self.deployment.seconds) + 1)
         total = sum(self.weights)
-        most = max(
+        highest = max(
             sum(self._weights_at(float(second)))
             / total
             * self._burst(kind, float(second))
             for second in seconds
         )
-        return (1 + self.deployment.swing) * max(1.0, most) * 1.3
+        return (1 + self.deployment.swing) * max(1.0, highest) * 1.3
 
     def _weights_at(self, second: float) -> list[float]:
         weights = list(self.weights)
         for disturbance in self.hot:
-            if _holds(disturbance, second):
-                place = min(disturbance.count, len(weights)) - 1
-                weights[place] *= disturbance.factor
+            if _is_active(disturbance, second):
+                index = min(disturbance.count, len(weights)) - 1
+                weights[index] *= disturbance.factor
         return weights
 
-    def _factor(self, kind: Kind, second: float) -> float:
-        phase = 2 * math.pi * second / _SWING_PERIOD_S
+    def _factor(self, kind: RequestKind, second: float) -> float:
+        phase = 2 * math.pi * second / _SWING_PERIOD_SECONDS
         wave = 1 + self.deployment.swing * math.sin(phase)
         return wave * self._burst(kind, second)
 
-    def _burst(self, kind: Kind, second: float) -> float:
+    def _burst(self, kind: RequestKind, second: float) -> float:
         factor = 1.0
         for disturbance in self.deployment.disturbances:
             if (
                 disturbance.kind is DisturbanceKind.BURST
-                and _holds(disturbance, second)
+                and _is_active(disturbance, second)
                 and disturbance.of_kind in ("", kind.name)
             ):
                 factor *= disturbance.factor
         return factor
 
     def _draw_request(
-        self, kind: Kind, at: float, weights: Sequence[float]
+        self, kind: RequestKind, at: float, weights: Sequence[float]
     ) -> Request:
         rng = self.rng
         own = PromptPart(f"own-{kind.name}-{at:.4f}", draw(rng, kind.own))
@@ -170,50 +174,52 @@
         stride = self.deployment.speeds.event_tokens
         output = max(1, (events - 1) * stride + rng.randint(1, stride))
         hint = output * rng.lognormvariate(0.0, 0.5)
-        most = kind.events.most
+        max_events = kind.events.most
         workspace = rng.choices(range(len(weights)), weights)[0]
         return Request(
             number=0,
-            at=at,
+            arrival_ms=at,
             kind=kind,
             workspace=f"w{workspace}",
             gateway=rng.randrange(self.deployment.gateways),
             parts=(*self._shared(kind, at / 1000), own),
             output_tokens=output,
-            most_tokens=int(most * stride) if most < 1e9 else 2 * output,
+            max_output_tokens=int(max_events * stride)
+            if max_events < 1e9
+            else 2 * output,
             hint_tokens=max(1, round(hint)),
             is_impatient=rng.random() < self._impatience(at / 1000),
         )
 
-    def _shared(self, kind: Kind, second: float) -> list[PromptPart]:
-        found, path = [], 0
-        hot = any(
+    def _shared(self, kind: RequestKind, second: float) -> list[PromptPart]:
+        parts, path = [], 0
+        is_hot = any(
             disturbance.kind is DisturbanceKind.HOT_KEY
-            and _holds(disturbance, second)
+            and _is_active(disturbance, second)
             and disturbance.of_kind in ("", kind.name)
             and self.rng.random() < disturbance.share
             for disturbance in self.deployment.disturbances
         )
-        for place, part in enumerate(kind.shared):
-            drawn = self.choices[kind.name, place].draw(self.rng)
-            thing = 0 if hot else drawn
-            path = path * part.count + thing
-            key = (kind.name, place, path)
-            if key not in self.things:
+        for position, part in enumerate(kind.shared):
+            drawn = self.samplers[kind.name, position].draw(self.rng)
+            index = 0 if is_hot else drawn
+            path = path * part.count + index
+            key = (kind.name, position, path)
+            if key not in self.shared_parts:
                 tokens = draw(self.rng, part.tokens)
-                digest = f"{kind.name}-{place}-{path}"
-                self.things[key] = PromptPart(digest, tokens)
-            found.append(self.things[key])
-        return found
+                digest = f"{kind.name}-{position}-{path}"
+                self.shared_parts[key] = PromptPart(digest, tokens)
+            parts.append(self.shared_parts[key])
+        return parts
 
     def _impatience(self, second: float) -> float:
         return sum(
             disturbance.share
             for disturbance in self.deployment.disturbances
             if disturbance.kind is DisturbanceKind.IMPATIENCE
-            and _holds(disturbance, second)
+            and _is_active(disturbance, second)
         )
 
 
-def _holds(disturbance: Disturbance, second: float) -> bool:
+def _is_active(disturbance: Disturbance, second: float) -> bool:
     return disturbance.at <= second < disturbance.at + disturbance.lasts
--- a/packages/standin/tests/experiment/test_engine_model.py
+++ b/packages/standin/tests/experiment/test_engine_model.py
@@ -1,16 +1,16 @@
-"""The model engine does what the pages of real engines say."""
+"""Batching, memory and crashes of the simulated engine."""
 
 import pytest
 
 from marjoramyard.coordination.routing.table import PromptPart
 from marjoramyard.standin.experiment.engine_model import (
-    EngineSpeeds,
-    ModelEngine,
-    ModelRun,
+    EngineParameters,
+    SimulatedEngine,
+    SimulatedRequest,
 )
 from marjoramyard.standin.experiment.event_loop import EventLoop
 
-SPEEDS = EngineSpeeds(
+SPEEDS = EngineParameters(
     slots=4,
     memory_tokens=20_000,
     step_ms=2.0,
@@ -23,92 +23,96 @@
 )
 
 
-class Bench:
-    """One engine and what its streams looked like."""
+class EngineHarness:
+    """One engine with the times of its events."""
 
-    def __init__(self, speeds=SPEEDS):
+    def __init__(self, parameters=SPEEDS):
         self.loop = EventLoop()
         self.events = {}
         self.ends = {}
-        self.engine = ModelEngine(
-            "e0", speeds, self.loop.at, self.on_event, self.on_end
+        self.engine = SimulatedEngine(
+            "e0", parameters, self.loop.at, self.on_event, self.on_end
         )
 
-    def on_event(self, run, now):
-        self.events.setdefault(run.key, []).append(now)
+    def on_event(self, request, now):
+        self.events.setdefault(request.key, []).append(now)
 
-    def on_end(self, run, now):
-        self.ends[run.key] = now
+    def on_end(self, request, now):
+        self.ends[request.key] = now
 
     def send(self, key, own, output=9, shared=(), at=0.0):
-        run = ModelRun(key, (*shared, PromptPart(f"own-{key}", own)), output)
-        self.loop.at(at, lambda: self.engine.submit(run, at))
-        return run
+        request = SimulatedRequest(
+            key, (*shared, PromptPart(f"own-{key}", own)), output
+        )
+        self.loop.at(at, lambda: self.engine.submit(request, at))
+        return request
 
-    def play(self, until=100_000.0):
+    def run(self, until=100_000.0):
         self.loop.run(until)
 
 
-def test_a_prompt_is_read_in_chunks_and_events_hold_several_tokens():
-    bench = Bench()
-    bench.send("a", own=2500, output=17)
-    bench.play()
+def test_prompts_are_prefilled_in_chunks_and_events_hold_several_tokens():
+    harness = EngineHarness()
+    harness.send("a", own=2500, output=17)
+    harness.run()
     first = 50.0 + 3 * 2.0 + 25.0
-    assert bench.events["a"] == pytest.approx(
+    assert harness.events["a"] == pytest.approx(
         [first, first + 16.0, first + 32.0]
     )
-    assert bench.ends["a"] == bench.events["a"][-1]
+    assert harness.ends["a"] == harness.events["a"][-1]
 
 
-def test_a_long_prompt_slows_the_streams_beside_it():
-    bench = Bench()
-    bench.send("stream", own=100, output=65)
-    bench.send("long", own=10_000, at=20.0)
-    bench.play()
-    times = bench.events["stream"]
+def test_a_long_prompt_slows_concurrent_streams():
+    harness = EngineHarness()
+    harness.send("stream", own=100, output=65)
+    harness.send("long", own=10_000, at=20.0)
+    harness.run()
+    times = harness.events["stream"]
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert max(gaps) > 80.0
     assert min(gaps) == pytest.approx(16.0)
 
 
-def test_kept_parts_are_not_read_again_until_they_yield():
+def test_cached_parts_are_not_prefilled_again_until_evicted():
     guide = PromptPart("guide", 5000)
-    bench = Bench()
-    bench.send("a", own=100, shared=(guide,))
-    bench.send("b", own=100, shared=(guide,), at=1000.0)
-    bench.play(5000.0)
-    assert bench.engine.tokens_read == pytest.approx(5200)
-    bench.send("big", own=16_000, at=5000.0)
-    bench.send("c", own=100, shared=(guide,), at=9000.0)
-    bench.play()
-    assert bench.engine.tokens_read == pytest.approx(5200 + 16_000 + 5100)
+    harness = EngineHarness()
+    harness.send("a", own=100, shared=(guide,))
+    harness.send("b", own=100, shared=(guide,), at=1000.0)
+    harness.run(5000.0)
+    assert harness.engine.prefilled_tokens == pytest.approx(5200)
+    harness.send("big", own=16_000, at=5000.0)
+    harness.send("c", own=100, shared=(guide,), at=9000.0)
+    harness.run()
+    assert harness.engine.prefilled_tokens == pytest.approx(
+        5200 + 16_000 + 5100
+    )
 
 
 def test_requests_beyond_the_slots_wait_for_one():
-    bench = Bench()
+    harness = EngineHarness()
     for number in range(5):
-        bench.send(str(number), own=100, output=81)
-    bench.play()
-    assert bench.events["4"][0] > min(bench.ends[str(n)] for n in range(4))
+        harness.send(str(number), own=100, output=81)
+    harness.run()
+    assert harness.events["4"][0] > min(harness.ends[str(n)] for n in range(4))
 
 
-def test_the_newest_run_is_preempted_and_read_again():
-    bench = Bench()
-    bench.send("old", own=9_000, output=800)
-    bench.send("new", own=9_900, output=800, at=10.0)
-    bench.play()
-    assert bench.engine.preempted >= 1
-    assert bench.ends["old"] < bench.ends["new"]
-    assert bench.engine.memory.run_tokens == 0
+def test_the_newest_request_is_preempted_and_prefilled_again():
+    harness = EngineHarness()
+    harness.send("old", own=9_000, output=800)
+    harness.send("new", own=9_900, output=800, at=10.0)
+    harness.run()
+    assert harness.engine.preemptions >= 1
+    assert harness.ends["old"] < harness.ends["new"]
+    assert harness.engine.memory.active_tokens == 0
 
 
-def test_a_crash_ends_all_and_nothing_is_kept():
+def test_a_crash_drops_all_requests_and_cached_parts():
     guide = PromptPart("guide", 5000)
-    bench = Bench()
-    run = bench.send("a", own=100, output=500, shared=(guide,))
-    bench.play(200.0)
-    assert bench.engine.crash() == [run]
-    bench.send("b", own=100, shared=(guide,), at=300.0)
-    bench.play()
-    assert "a" not in bench.ends and "b" in bench.ends
-    assert bench.engine.tokens_read == pytest.approx(10_200)
+    harness = EngineHarness()
+    request = harness.send("a", own=100, output=500, shared=(guide,))
+    harness.run(200.0)
+    assert harness.engine.crash() == [request]
+    harness.send("b", own=100, shared=(guide,), at=300.0)
+    harness.run()
+    assert "a" not in harness.ends and "b" in harness.ends
+    assert harness.engine.prefilled_tokens == pytest.approx(10_200)
--- a/packages/standin/tests/experiment/test_experiment.py
+++ b/packages/standin/tests/experiment/test_experiment.py
@@ -1,4 +1,4 @@
-"""Loads and policies, played on the model: what each pattern asks for."""
+"""Simulation runs of the example deployments, and their reports."""
 
 import json
 from pathlib import Path
@@ -11,94 +11,92 @@
 from marjoramyard.standin.experiment.deployments import (
     Disturbance,
     DisturbanceKind,
-    UnreadableDeploymentError,
+    InvalidDeploymentError,
     read_deployment,
 )
 from marjoramyard.standin.experiment.runner import estimate
 from marjoramyard.standin.experiment.scoring import Outcome, fair_shares
-from marjoramyard.standin.experiment.simulation import Simulation, play
+from marjoramyard.standin.experiment.simulation import Simulation, simulate
 
 EXAMPLES = Path(__file__).parents[4] / "examples" / "experiments"
-CALM = EXAMPLES / "long-histories.yaml"
-RUSH = EXAMPLES / "long-histories-rush.yaml"
+NORMAL = EXAMPLES / "long-histories.yaml"
+OVERLOAD = EXAMPLES / "long-histories-rush.yaml"
 
 
-def test_the_same_seed_plays_the_same_day():
-    calm = read_deployment(CALM)
-    first, again = (play(calm, "broker", 3) for _ in range(2))
-    assert first.credits == again.credits
-    assert first.credits != play(calm, "broker", 4).credits
+def test_a_seed_determines_the_run():
+    deployment = read_deployment(NORMAL)
+    first, again = (simulate(deployment, "broker", 3) for _ in range(2))
+    assert first.scores == again.scores
+    assert first.scores != simulate(deployment, "broker", 4).scores
 
 
 @pytest.mark.parametrize("seed", [0, 1])
-def test_a_rush_does_not_make_everybody_late(seed):
-    """Nobody is answered in time while twice the usual arrives.
-
-    Engines serve in order of arrival, so a queue at each of them makes the
-    answers of all late. The broker refuses what would be late.
-    """
+def test_the_broker_scores_best_under_overload(seed):
+    """Without admission control, queues at the engines delay all responses."""
     twice = Disturbance(
         kind=DisturbanceKind.BURST, at=0.0, lasts=12.0, factor=2.0
     )
-    rush = msgspec.structs.replace(
-        read_deployment(RUSH), seconds=12.0, disturbances=(twice,)
+    overloaded = msgspec.structs.replace(
+        read_deployment(OVERLOAD), seconds=12.0, disturbances=(twice,)
     )
-    broker = play(rush, "broker", seed).credits
+    broker = simulate(overloaded, "broker", seed).scores
     for simple in ("least-connections", "prefix-hash", "round-robin"):
-        assert broker.goal > play(rush, simple, seed).credits.goal + 0.2
+        assert (
+            broker.goal > simulate(overloaded, simple, seed).scores.goal + 0.2
+        )
 
 
-def test_a_crash_and_a_lost_broker_leave_no_request_without_an_end():
-    """Callers hang after a crash: nobody tells them that it is over."""
-    short = msgspec.structs.replace(read_deployment(RUSH), seconds=16.0)
+def test_all_requests_end_despite_a_crash_and_a_lost_broker():
+    """Guards against requests without an outcome after a crash."""
+    short = msgspec.structs.replace(read_deployment(OVERLOAD), seconds=16.0)
     simulation = Simulation(short, "broker", 1)
-    played = simulation.play()
+    run = simulation.run()
     assert simulation.attempts == {}
     assert simulation.policy.in_flight == {}
-    assert {record.outcome for record in played.records} >= {
+    assert {record.outcome for record in run.records} >= {
         Outcome.ON_TIME,
         Outcome.REFUSED,
         Outcome.FAILED,
     }
 
 
-def test_shares_go_to_the_smallest_first_and_the_rest_is_even():
+def test_fair_shares_are_max_min_fair():
     shares = fair_shares({"small": 10.0, "large": 100.0, "other": 60.0}, 90.0)
     assert shares == {"small": 10.0, "large": 40.0, "other": 40.0}
 
 
-def test_an_estimate_of_one_seed_claims_nothing():
+def test_the_estimate_of_one_seed_has_no_interval():
     assert estimate([0.5]).half_width == 0.0
     assert estimate([0.4, 0.6]).half_width > 0.1
 
 
-def test_a_description_that_is_wrong_says_what_to_mend(tmp_path):
+def test_an_invalid_deployment_file_names_the_field(tmp_path):
     path = tmp_path / "broken.yaml"
     path.write_text("name: broken\nengines: many\n")
-    with pytest.raises(UnreadableDeploymentError, match="engines"):
+    with pytest.raises(InvalidDeploymentError, match="engines"):
         read_deployment(path)
 
 
-def test_the_command_shows_a_table_and_json(tmp_path):
-    small = CALM.read_text().replace("seconds: 34", "seconds: 3")
+def test_the_command_prints_a_table_or_json(tmp_path):
+    small = NORMAL.read_text().replace("seconds: 34", "seconds: 3")
     path = tmp_path / "small.yaml"
     path.write_text(small)
     plot = tmp_path / "plot.png"
-    words = ["experiment", str(path), "--seeds", "2", "--jobs", "2"]
-    words += ["--policy", "broker", "--policy", "random"]
-    table = CliRunner().invoke(main, [*words, "--plot", str(plot)])
+    arguments = ["experiment", str(path), "--seeds", "2", "--jobs", "2"]
+    arguments += ["--policy", "broker", "--policy", "random"]
+    table = CliRunner().invoke(main, [*arguments, "--plot", str(plot)])
     assert table.exit_code == 0, table.output
     assert "broker" in table.stdout and "±" in table.stdout
     assert plot.stat().st_size > 10_000
-    told = CliRunner().invoke(main, ["--output", "json", *words])
-    rows = json.loads(told.stdout)
+    result = CliRunner().invoke(main, ["--output", "json", *arguments])
+    rows = json.loads(result.stdout)
     assert [row["policy"] for row in rows] == ["broker", "random"]
     assert 0 <= rows[0]["figures"]["goal"]["mean"] <= 1
 
 
-def test_an_unknown_policy_lists_those_there_are():
-    told = CliRunner().invoke(
-        main, ["experiment", str(CALM), "--policy", "guess"]
+def test_an_unknown_policy_lists_the_known_ones():
+    result = CliRunner().invoke(
+        main, ["experiment", str(NORMAL), "--policy", "guess"]
     )
-    assert told.exit_code == 2
-    assert "least-connections" in told.output
+    assert result.exit_code == 2
+    assert "least-connections" in result.output
--- a/packages/standin/tests/test_processes.py
+++ b/packages/standin/tests/test_processes.py
@@ -6,33 +6,31 @@
 
 from marjoramyard.standin.processes import PORTS, free_address
 
-RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
-def test_a_port_is_never_one_that_a_connection_may_take():
-    """A control host that was killed never comes back.
-
-    While it is down, somebody's outgoing connection gets its port. It can't
-    listen and ends; a test waits for it until its time is over.
+def test_ports_are_below_the_ephemeral_range():
+    """Otherwise an outgoing connection can take the port of a process that
+    is being restarted.
     """
-    lowest = int(RANGE.read_text(encoding="ascii").split()[0])
+    lowest = int(EPHEMERAL_RANGE.read_text(encoding="ascii").split()[0])
     assert max(PORTS) < lowest
     for _ in range(50):
         assert int(free_address().rpartition(":")[2]) in PORTS
 
 
-def test_a_port_that_is_in_use_is_not_given(monkeypatch):
+def test_ports_in_use_are_skipped(monkeypatch):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
-        busy = taken.getsockname()[1]
-        ports = (busy, int(free_address().rpartition(":")[2]))
+        used_port = taken.getsockname()[1]
+        ports = (used_port, int(free_address().rpartition(":")[2]))
         draws = iter(ports)
         chooser = type("Chooser", (), {"choice": lambda *_: next(draws)})
         monkeypatch.setattr("marjoramyard.standin.processes._RANDOM", chooser())
         assert free_address() == f"127.0.0.1:{ports[1]}"
 
 
-async def test_an_address_can_be_listened_on():
+async def test_a_free_address_can_be_bound():
     host, _, port = free_address().rpartition(":")
     server = await asyncio.start_server(lambda *_: None, host, int(port))
     server.close()
