--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,7 +1,7 @@
-"""Fairness, utilisation and waits of the decision alone, in one run.
+"""Fairness gap, utilisation and waits of the scheduler and two baselines.
 
-`.venv/bin/python bench/fairness.py` prints a table for both deployments and
-writes bench/out/fairness.json.
+`.venv/bin/python bench/fairness.py` simulates both example deployments in one
+process, prints a table and writes bench/out/fairness.json.
 """
 
 import dataclasses
@@ -13,11 +13,11 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 from fairness_model import (  # noqa: E402
-    EntryFair,
-    FirstCome,
+    FirstComeFirstServed,
+    PerEntryFair,
     Scenario,
-    Shared,
-    bound,
+    SharedTotals,
+    gap_bound,
 )
 
 from marjoramyard.coordination.fairness.scheduler import (  # noqa: E402
@@ -28,7 +28,7 @@
 from marjoramyard.coordination.fairness.totals import Totals  # noqa: E402
 
 SEEDS = (7, 8)
-STALENESS = (0.2, 0.5, 5.0)
+SYNC_INTERVALS_SECONDS = (0.2, 0.5, 5.0)
 DEPLOYMENTS = (
     Scenario("teranga", engines=5, policy=FairnessPolicy(prefix_slack=50)),
     Scenario(
@@ -39,61 +39,67 @@
 )
 
 
-def measure(way, scenario):
-    """Returns the worst of the gaps and the mean of the rest."""
+def measure(model, scenario):
+    """Returns the worst gaps and the means of the rest over all seeds."""
     runs = [
-        way(dataclasses.replace(scenario, seed=seed)).run() for seed in SEEDS
+        model(dataclasses.replace(scenario, seed=seed)).run() for seed in SEEDS
     ]
     return {
         "worst_gap": max(r.worst_gap for r in runs),
         "warm_gap": max(r.warm_gap for r in runs),
         "utilisation": statistics.mean(r.utilisation for r in runs),
-        "counter_p50": statistics.mean(r.counter_p50 for r in runs),
-        "counter_p95": statistics.mean(r.counter_p95 for r in runs),
+        "counter_p50": statistics.mean(r.probe_wait_p50 for r in runs),
+        "counter_p95": statistics.mean(r.probe_wait_p95 for r in runs),
     }
 
 
-def show(name, way, row):
-    """Prints one row."""
+def show(name, model, row):
+    """Prints one row of the table."""
     print(
-        f"{name:<22} {way:<26} {row['worst_gap']:>10.0f} "
+        f"{name:<22} {model:<26} {row['worst_gap']:>10.0f} "
         f"{row['warm_gap']:>10.0f} {row['utilisation']:>8.4f} "
         f"{row['counter_p50']:>8.2f} {row['counter_p95']:>8.2f}"
     )
 
 
 def compare(scenario):
-    """Measures all ways on one deployment."""
+    """Measures the scheduler and the baselines on one deployment."""
     rows = {
-        "first come, round robin": measure(FirstCome, scenario),
-        "fair by entry": measure(EntryFair, scenario),
+        "first come, round robin": measure(FirstComeFirstServed, scenario),
+        "fair by entry": measure(PerEntryFair, scenario),
     }
-    for seconds in STALENESS:
+    for interval in SYNC_INTERVALS_SECONDS:
         for reserve in (0.0, 0.5):
             policy = with_reserve(scenario.policy, reserve)
             changed = dataclasses.replace(
-                scenario, staleness=seconds, policy=policy
+                scenario, sync_interval=interval, policy=policy
             )
-            name = f"shared {seconds:g}s reserve {reserve:g}"
-            rows[name] = measure(Shared, changed)
+            name = f"shared {interval:g}s reserve {reserve:g}"
+            rows[name] = measure(SharedTotals, changed)
     policy = with_reserve(scenario.policy, 0.5)
-    calm = dataclasses.replace(scenario, flood=False, policy=policy)
-    rows["shared 0.5s, no flood"] = measure(Shared, calm)
-    for way, row in rows.items():
-        show(scenario.name, way, row)
-    print(f"{scenario.name:<22} bound (0.5 s) {bound(scenario):.0f}")
+    calm = dataclasses.replace(scenario, overload=False, policy=policy)
+    rows["shared 0.5s, no flood"] = measure(SharedTotals, calm)
+    for model, row in rows.items():
+        show(scenario.name, model, row)
+    print(f"{scenario.name:<22} bound (0.5 s) {gap_bound(scenario):.0f}")
     return rows
 
 
 def with_reserve(policy, reserve):
-    """Returns the policy with another reserve."""
+    """Returns a copy of the policy with another reserve."""
     return FairnessPolicy(
         policy.prefix_slack, policy.zone_slack, reserve, policy.credit_limit
     )
 
 
 def choice_cost(workspaces, backlogged, rounds=20_000):
-    """Returns microseconds for one choice with its charge."""
+    """Returns the microseconds per choice, including its charge.
+
+    Args:
+        workspaces: Number of workspaces in the shared totals.
+        backlogged: Number of workspaces with queued requests.
+        rounds: Number of choices.
+    """
     scheduler = FairScheduler(Totals("a"), "z", lambda _: 1.0, FairnessPolicy())
     for n in range(workspaces):
         scheduler.totals.add(f"w{n}", float(n % 97) + 1.0)
@@ -108,13 +114,13 @@
 
 
 def main():
-    """Prints all tables."""
+    """Prints the table and the cost of a choice."""
     print(
-        f"{'deployment':<22} {'way':<26} {'worst gap':>10} {'warm gap':>10} "
+        f"{'deployment':<22} {'model':<26} {'worst gap':>10} {'warm gap':>10} "
         f"{'util':>8} {'wait p50':>8} {'wait p95':>8}"
     )
     out = {s.name: compare(s) for s in DEPLOYMENTS}
-    print("\nbacklogged  microseconds a choice (24,000 workspaces known)")
+    print("\nbacklogged  microseconds per choice (24,000 workspaces)")
     out["choice"] = {}
     for backlogged in (24, 240, 2400, 24000):
         cost = choice_cost(24_000, backlogged)
--- a/bench/fairness_model.py
+++ b/bench/fairness_model.py
@@ -1,8 +1,8 @@
-"""A small event model that drives the real scheduler and two baselines.
+"""Discrete-event model of the fair scheduler and two baselines.
 
-Engines with slots, entries with queues, costs with a heavy tail, rough
-hints, totals that arrive late. No network, no processes: what is measured
-here is the decision alone; bench/fleet_load.py measures the processes.
+It has engines with slots, entries with queues, heavy-tailed costs and delayed
+totals, but neither network nor processes; bench/fleet_load.py measures a fleet
+of processes.
 """
 
 import heapq
@@ -20,42 +20,42 @@
 from marjoramyard.coordination.serving.prefixes import PrefixHistory
 
 TOKENS_PER_SECOND = 40.0
-"""One slot's rate."""
+"""Rate of each slot."""
 PROMPTS = 6
-"""Prompts that each workspace uses again and again."""
+"""Number of different prompts of each workspace."""
 CACHED_PROMPTS = 24
-"""How many prompts an engine's cache holds."""
+"""Capacity of an engine's cache in prompts."""
 PREFILL_SECONDS = 2.0
-"""What a prompt that is not in the cache costs a slot."""
-CHARGE_SECONDS = 0.25
-"""How often a running request's tokens are charged in the model."""
-
-
-WARM_SECONDS = 60.0
-"""Until then no workspace's average cost is known, and all begin at once."""
+"""Time to prefill a prompt that is not cached."""
+CHARGE_INTERVAL_SECONDS = 0.25
+"""Interval at which the tokens of running requests are charged."""
+WARM_UP_SECONDS = 60.0
+"""Start-up time in which the average costs of workspaces are unknown."""
 
 
 @dataclass
 class Request:
-    """One request; its cost is known only when it ends."""
+    """One request; its cost in tokens is unknown to the scheduler."""
 
     workspace: str
     cost: float
-    arrived: float
+    arrived_at: float
     prefix: str = ""
-    started: float = -1.0
-    ended: float = -1.0
+    started_at: float = -1.0
+    ended_at: float = -1.0
 
 
 @dataclass
 class Scenario:
-    """What is served, by whom, and what happens.
+    """Parameters of a run.
 
     Attributes:
-        backlog: Requests that each workspace keeps waiting; 0 for the
-            counter, which sends one at a time.
-        engine_lost_at: One engine is lost then; 0 for never.
-        staleness: Seconds between exchanges of totals.
+        slots: Slots of each engine.
+        seconds: Duration of the run.
+        max_cost: Largest cost of a request in tokens.
+        sync_interval: Seconds between exchanges of totals.
+        overload: Whether one workspace queues far more than the others.
+        engine_crash_at: When one engine crashes, in seconds; 0 for never.
     """
 
     name: str
@@ -65,39 +65,48 @@
     workspaces: int = 15
     seconds: float = 540.0
     max_cost: float = 4000.0
-    staleness: float = 0.5
-    flood: bool = True
-    engine_lost_at: float = 270.0
+    sync_interval: float = 0.5
+    overload: bool = True
+    engine_crash_at: float = 270.0
     policy: FairnessPolicy = field(default_factory=FairnessPolicy)
     seed: int = 7
 
 
 @dataclass
 class Outcome:
-    """What a run came to."""
+    """Measurements of a run.
+
+    Attributes:
+        worst_gap: Largest difference in tokens served to two workspaces.
+        warm_gap: The same after the start-up time.
+        utilisation: Busy slot time relative to what a single shared queue
+            would achieve.
+        probe_wait_p50: Median wait of the probe workspace in seconds.
+        probe_wait_p95: 95th percentile of those waits.
+    """
 
     worst_gap: float
     warm_gap: float
     utilisation: float
-    counter_p50: float
-    counter_p95: float
+    probe_wait_p50: float
+    probe_wait_p95: float
 
 
-COUNTER = "w0"
-"""The small workspace whose waiting time is measured."""
+PROBE = "w0"
+"""The workspace with low load whose waits are measured."""
 
 
 class Model:
-    """Shared parts of the three ways to choose."""
+    """Base of the models: events, load, service and measurements."""
 
     def __init__(self, scenario):
         self.scenario = scenario
         self.rng = random.Random(scenario.seed)
         self.now = 0.0
         self.events = []
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.names = [f"w{n}" for n in range(scenario.workspaces)]
-        self.flooder = self.names[-1]
+        self.overloading = self.names[-1]
         self.queues = [
             {name: deque() for name in self.names}
             for _ in range(scenario.entries)
@@ -106,34 +115,34 @@
         self.up = [True] * scenario.engines
         self.served = dict.fromkeys(self.names, 0.0)
         self.running = {}
-        self.counter_waits = []
+        self.probe_waits = []
         self.busy = 0.0
         self.possible = 0.0
         self.worst_gap = 0.0
         self.warm_gap = 0.0
-        self.accounted = 0.0
+        self.recorded_until = 0.0
 
     # Events.
 
-    def at(self, delay, action, *arguments):
+    def schedule(self, delay, action, *arguments):
         heapq.heappush(
             self.events,
-            (self.now + delay, next(self.order), action, arguments),
+            (self.now + delay, next(self.event_numbers), action, arguments),
         )
 
     def run(self):
-        self.arrivals()
-        if self.scenario.engine_lost_at:
-            self.at(self.scenario.engine_lost_at, self.lose_engine)
-        self.at(CHARGE_SECONDS, self.charge_all)
-        self.begin()
+        self.fill_queues()
+        if self.scenario.engine_crash_at:
+            self.schedule(self.scenario.engine_crash_at, self.crash_engine)
+        self.schedule(CHARGE_INTERVAL_SECONDS, self.charge_all)
+        self.set_up()
         while self.events and self.now < self.scenario.seconds:
             when, _, action, arguments = heapq.heappop(self.events)
-            self.account(when)
+            self.record_utilisation(when)
             self.now = when
             action(*arguments)
             self.dispatch()
-        waits = sorted(self.counter_waits) or [0.0]
+        waits = sorted(self.probe_waits) or [0.0]
         return Outcome(
             self.worst_gap,
             self.warm_gap,
@@ -142,58 +151,62 @@
             waits[int(len(waits) * 0.95)],
         )
 
-    def begin(self):
-        """Starts what one way needs besides."""
+    def set_up(self):
+        """Prepares the state of a model."""
 
     # Load.
 
-    def cost(self):
-        """A heavy tail: most are short, some are a hundred times longer."""
+    def draw_cost(self):
+        """Draws a cost from a heavy-tailed distribution."""
         tail = self.rng.paretovariate(1.2) * 60.0
         return min(self.scenario.max_cost, tail)
 
-    def arrivals(self):
-        # Large workspaces sit at one entry more than at others.
-        for place, name in enumerate(self.names[1:], start=1):
-            deep = 400 if name == self.flooder and self.scenario.flood else 12
-            for n in range(deep):
-                entry = place if n % 3 else n
+    def fill_queues(self):
+        # Each workspace sends most of its requests to one entry.
+        for index, name in enumerate(self.names[1:], start=1):
+            depth = (
+                400
+                if name == self.overloading and self.scenario.overload
+                else 12
+            )
+            for n in range(depth):
+                entry = index if n % 3 else n
                 self.add(name, entry % self.scenario.entries)
-        self.at(1.0, self.counter_arrives)
+        self.schedule(1.0, self.on_probe_arrival)
 
     def add(self, name, entry):
         prefix = f"{name} prompt {self.rng.randrange(PROMPTS)}"
-        request = Request(name, self.cost(), self.now, prefix)
+        request = Request(name, self.draw_cost(), self.now, prefix)
         self.queues[entry][name].append(request)
         self.on_queued(name, entry)
 
-    def counter_arrives(self):
-        request = Request(COUNTER, 100.0, self.now)
+    def on_probe_arrival(self):
+        request = Request(PROBE, 100.0, self.now)
         entry = self.rng.randrange(self.scenario.entries)
-        self.queues[entry][COUNTER].append(request)
-        self.on_queued(COUNTER, entry)
-        self.at(self.rng.uniform(1.0, 3.0), self.counter_arrives)
+        self.queues[entry][PROBE].append(request)
+        self.on_queued(PROBE, entry)
+        self.schedule(self.rng.uniform(1.0, 3.0), self.on_probe_arrival)
 
     def on_queued(self, name, entry):
-        """Tells the way that something waits."""
+        """Called when a request was queued."""
 
     # Serving.
 
     def start(self, engine, entry, name):
         request = self.queues[entry][name].popleft()
-        request.started = self.now
-        if name == COUNTER:
-            self.counter_waits.append(self.now - request.arrived)
+        request.started_at = self.now
+        if name == PROBE:
+            self.probe_waits.append(self.now - request.arrived_at)
         else:
             self.add(name, entry)
         self.free[engine] -= 1
-        key = next(self.order)
+        key = next(self.event_numbers)
         self.running[key] = [request, engine, entry, 0.0]
         seconds = request.cost / TOKENS_PER_SECOND
-        self.at(seconds + self.prefill(engine, request), self.end, key)
+        self.schedule(seconds + self.prefill(engine, request), self.end, key)
 
     def prefill(self, engine, request):
-        """Returns the seconds before the first token; none in this model."""
+        """Returns the seconds before the first token; 0 in this model."""
         return 0.0
 
     def end(self, key):
@@ -205,7 +218,7 @@
         self.on_ended(run)
 
     def on_ended(self, run):
-        """Tells the way that a slot is free."""
+        """Called when a request has ended and its slot is free."""
 
     def charge(self, run, amount):
         run[3] += amount
@@ -213,17 +226,17 @@
         self.on_charged(run, amount)
 
     def on_charged(self, run, amount):
-        """Tells the way of service given."""
+        """Called when service was charged to a workspace."""
 
     def charge_all(self):
-        step = CHARGE_SECONDS * TOKENS_PER_SECOND
+        step = CHARGE_INTERVAL_SECONDS * TOKENS_PER_SECOND
         for run in self.running.values():
             self.charge(run, min(step, run[0].cost - run[3]))
-        self.note_gap()
-        self.at(CHARGE_SECONDS, self.charge_all)
+        self.record_gap()
+        self.schedule(CHARGE_INTERVAL_SECONDS, self.charge_all)
 
-    def lose_engine(self):
-        """What ran on it is run again; it was paid for already."""
+    def crash_engine(self):
+        """Requeues the requests of an engine; their charges stay."""
         self.up[0] = False
         self.free[0] = 0
         for key, run in list(self.running.items()):
@@ -233,33 +246,33 @@
                 self.on_queued(run[0].workspace, run[2])
 
     def dispatch(self):
-        """Starts what may start now."""
+        """Starts the requests that can start now."""
         raise NotImplementedError
 
     # Measures.
 
-    def note_gap(self):
-        levels = [self.served[n] for n in self.names if n != COUNTER]
-        gap = max(levels) - min(levels)
+    def record_gap(self):
+        service = [self.served[n] for n in self.names if n != PROBE]
+        gap = max(service) - min(service)
         self.worst_gap = max(self.worst_gap, gap)
-        if self.now > WARM_SECONDS:
+        if self.now > WARM_UP_SECONDS:
             self.warm_gap = max(self.warm_gap, gap)
 
-    def account(self, when):
-        """Busy slots against those a single queue would keep busy."""
-        passed = when - self.accounted
-        self.accounted = when
+    def record_utilisation(self, when):
+        """Adds busy slot time and what a single shared queue would achieve."""
+        elapsed = when - self.recorded_until
+        self.recorded_until = when
         slots = sum(self.up) * self.scenario.slots
-        waiting = sum(len(q) for queue in self.queues for q in queue.values())
-        self.busy += passed * len(self.running)
-        self.possible += passed * min(slots, len(self.running) + waiting)
+        queued = sum(len(q) for queue in self.queues for q in queue.values())
+        self.busy += elapsed * len(self.running)
+        self.possible += elapsed * min(slots, len(self.running) + queued)
 
 
-class FirstCome(Model):
-    """Baseline 1: round robin to engines, first come first served there."""
+class FirstComeFirstServed(Model):
+    """Baseline: round robin to engines, each with a FIFO queue."""
 
-    def begin(self):
-        self.lines = [deque() for _ in self.free]
+    def set_up(self):
+        self.engine_queues = [deque() for _ in self.free]
         self.turn = itertools.cycle(range(len(self.free)))
         for entry, queue in enumerate(self.queues):
             for name, items in queue.items():
@@ -267,30 +280,30 @@
                     self.on_queued(name, entry)
 
     def on_queued(self, name, entry):
-        if not hasattr(self, "lines"):
+        if not hasattr(self, "engine_queues"):
             return
         engine = next(self.turn)
         while not self.up[engine]:
             engine = next(self.turn)
-        self.lines[engine].append((entry, name))
+        self.engine_queues[engine].append((entry, name))
 
-    def lose_engine(self):
-        super().lose_engine()
-        for item in self.lines[0]:
+    def crash_engine(self):
+        super().crash_engine()
+        for item in self.engine_queues[0]:
             self.on_queued(item[1], item[0])
-        self.lines[0].clear()
+        self.engine_queues[0].clear()
 
     def dispatch(self):
-        for engine, line in enumerate(self.lines):
-            while self.free[engine] > 0 and line:
-                entry, name = line.popleft()
+        for engine, queue in enumerate(self.engine_queues):
+            while self.free[engine] > 0 and queue:
+                entry, name = queue.popleft()
                 self.start(engine, entry, name)
 
 
-class EntryFair(Model):
-    """Baseline 2: each entry is fair by its own counts, and sends on."""
+class PerEntryFair(Model):
+    """Baseline: each entry is fair by its own counts only."""
 
-    def begin(self):
+    def set_up(self):
         self.counts = [dict.fromkeys(self.names, 0.0) for _ in self.queues]
         self.turn = 0
 
@@ -316,10 +329,10 @@
         return False
 
 
-class Shared(Model):
-    """The fleet's own scheduler at each agent, with shared totals."""
+class SharedTotals(Model):
+    """The fair scheduler at each agent, with totals shared by the entries."""
 
-    def begin(self):
+    def set_up(self):
         policy = self.scenario.policy
         self.agents = [
             FairScheduler(
@@ -341,14 +354,14 @@
         self.exchange()
 
     def exchange(self):
-        """What offers carry: backlogs now, totals as of the last time."""
+        """Exchanges totals and offers between all agents and entries."""
         for (a, e), (agent_link, entry_link) in self.links.items():
             entry_link.incoming(agent_link.outgoing())
             agent_link.incoming(entry_link.outgoing())
-            self.tell(a, e)
-        self.at(self.scenario.staleness, self.exchange)
+            self.offer(a, e)
+        self.schedule(self.scenario.sync_interval, self.exchange)
 
-    def tell(self, a, e):
+    def offer(self, a, e):
         self.sequence += 1
         scheduler = self.agents[a]
         scheduler.hear(f"entry-{e}", f"z{e % 3}", self.sequence, self.now)
@@ -362,10 +375,10 @@
     def on_queued(self, name, entry):
         if hasattr(self, "agents") and len(self.queues[entry][name]) == 1:
             for a in range(len(self.agents)):
-                self.tell(a, entry)
+                self.offer(a, entry)
 
     def warm_at(self, agent):
-        """Returns which prompts an agent takes for warm; here none."""
+        """Returns which prompts are cached at an agent's engine; none here."""
         return lambda _: False
 
     def on_charged(self, run, amount):
@@ -393,14 +406,14 @@
                 self.start(a, entry, choice.workspace)
 
 
-class Cached(Shared):
-    """Shared, before engines that keep prompts in a limited cache."""
+class CachingEngines(SharedTotals):
+    """Shared totals with engines that have a limited prompt cache."""
 
-    def begin(self):
+    def set_up(self):
         self.caches = [PrefixHistory(CACHED_PROMPTS) for _ in self.free]
         self.hits = 0
         self.runs = 0
-        super().begin()
+        super().set_up()
 
     def warm_at(self, agent):
         return self.caches[agent].is_warm
@@ -414,9 +427,13 @@
         return 0.0 if is_hit else PREFILL_SECONDS
 
 
-def bound(scenario):
-    """(N L + unseen) / share, plus the slack of the knobs."""
+def gap_bound(scenario):
+    """Returns the upper bound of the gap in tokens for equal shares of 1.
+
+    It is the cost of one request in each slot, the service that peers do not
+    know of yet and the configured slack.
+    """
     slots = scenario.engines * scenario.slots
-    unseen = scenario.staleness * slots * TOKENS_PER_SECOND
+    unshared = scenario.sync_interval * slots * TOKENS_PER_SECOND
     slack = scenario.policy.prefix_slack + scenario.policy.zone_slack
-    return slots * scenario.max_cost + unseen + slack
+    return slots * scenario.max_cost + unshared + slack
--- a/bench/prefix_slack.py
+++ b/bench/prefix_slack.py
@@ -1,30 +1,33 @@
-"""What the prefix knob buys and costs, on the decision alone.
+"""Effect of the prefix slack on cache hits, throughput and fairness.
 
-`.venv/bin/python bench/prefix_slack.py` runs both deployments with several
-slacks before engines with a limited prompt cache, prints hits, service and
-gap, and writes bench/out/prefix_slack.json.
+`.venv/bin/python bench/prefix_slack.py` simulates both example deployments
+with several slacks and engines with a limited prompt cache, prints a table and
+writes bench/out/prefix_slack.json.
 """
 
 import dataclasses
 
 from common import save
 from fairness import DEPLOYMENTS
-from fairness_model import Cached
+from fairness_model import CachingEngines
 
 from marjoramyard.coordination.fairness.scheduler import FairnessPolicy
 
 SLACKS = (0, 50, 500, 2000)
-STALENESS = 1.0
+SYNC_INTERVAL_SECONDS = 1.0
 RESERVE = 0.5
 
 
 def measure(scenario, slack: float) -> dict:
-    """Returns one row."""
+    """Returns the measurements of one deployment with one slack."""
     policy = FairnessPolicy(prefix_slack=slack, reserve=RESERVE)
     changed = dataclasses.replace(
-        scenario, policy=policy, staleness=STALENESS, engine_lost_at=0.0
+        scenario,
+        policy=policy,
+        sync_interval=SYNC_INTERVAL_SECONDS,
+        engine_crash_at=0.0,
     )
-    model = Cached(changed)
+    model = CachingEngines(changed)
     outcome = model.run()
     return {
         "slack": slack,
@@ -32,7 +35,7 @@
         "served": sum(model.served.values()),
         "warm_gap": outcome.warm_gap,
         "utilisation": outcome.utilisation,
-        "counter_p95": outcome.counter_p95,
+        "counter_p95": outcome.probe_wait_p95,
     }
 
 
@@ -48,7 +51,7 @@
                 f"{scenario.name:<10} slack {slack:5d}: hits "
                 f"{row['hit_rate']:.3f}, served {row['served']:9.0f}, gap "
                 f"{row['warm_gap']:6.0f}, utilisation "
-                f"{row['utilisation']:.4f}, counter p95 "
+                f"{row['utilisation']:.4f}, probe p95 "
                 f"{row['counter_p95']:.2f} s",
                 flush=True,
             )
