--- a/bench/drain_latency.py
+++ b/bench/drain_latency.py
@@ -1,8 +1,8 @@
-"""How long a leaving endpoint still gets new work: the worst of many.
+"""How long endpoints that announced to leave still receive new calls.
 
 `.venv/bin/python bench/drain_latency.py` lets endpoints leave one after the
-other under load and writes bench/out/drain_latency.json. An endpoint's call
-counts as new work if it reached it after the word that it leaves was sent.
+other under load and writes bench/out/drain_latency.json. A call
+counts as new if it arrives after the agent accepted the announcement.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 
 async def run() -> dict:
-    """Lets endpoints leave while callers never pause."""
+    """Lets endpoints leave under load and returns the measurements."""
     text = (ROOT / "tests/roots/small/bundle.yaml").read_text()
-    late, told_in = [], []
+    late_calls, announce_seconds = [], []
     async with local_fleet() as fleet:
         await start_small_fleet(fleet, yaml.safe_load(text))
         names = [f"shop-{n}" for n in range(LEAVES + 2)]
@@ -48,22 +48,24 @@
             address = fleet.endpoint_addresses[name]
             started = time.monotonic()
             async with fleet.session.post(f"http://{address}/admin/leave"):
-                told_in.append(time.monotonic() - started)
+                announce_seconds.append(time.monotonic() - started)
             before = len((await fleet.counters(name))["calls"])
             await asyncio.sleep(1.0)
-            late.append(len((await fleet.counters(name))["calls"]) - before)
+            late_calls.append(
+                len((await fleet.counters(name))["calls"]) - before
+            )
         stop.set()
         await asyncio.gather(*callers)
     return {
         "leaves": LEAVES,
-        "new_calls_after_the_word_was_taken": sum(late),
-        "worst_seconds_until_the_word_was_taken": max(told_in),
+        "new_calls_after_announcement": sum(late_calls),
+        "worst_announcement_seconds": max(announce_seconds),
         "failed_requests": failed,
     }
 
 
 def main() -> None:
-    """Prints the figures."""
+    """Prints and saves the measurements."""
     out = asyncio.run(run())
     save("drain_latency", out)
     for name, value in out.items():
--- a/bench/group_commit.py
+++ b/bench/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit on the loop: records a second and the loop's longest pause.
+"""Throughput of the storage by batch size, and how long a write blocks.
 
-`.venv/bin/python bench/group_commit.py` appends to a real data folder in
-batches of several sizes and writes bench/out/group_commit.json.
+`.venv/bin/python bench/group_commit.py` appends to a data folder in batches of
+several sizes and writes bench/out/group_commit.json.
 """
 
 import tempfile
@@ -13,19 +13,19 @@
 from marjoramyard.coordination.consensus.messages import EntryKind, LogEntry
 from marjoramyard.fleet.control.storage import open_storage
 
-BATCHES = (1, 4, 16, 64, 256)
-SECONDS = 2.0
+BATCH_SIZES = (1, 4, 16, 64, 256)
+SECONDS_PER_SIZE = 2.0
 DATA = "x" * 400
-"""About the size of a ledger command."""
+"""Payload of an entry, about the size of a ledger command."""
 
 
 def measure(folder: Path, size: int) -> dict:
-    """Writes batches of one size for a while."""
+    """Appends batches of one size and returns throughput and pauses."""
     pauses, index = [], 0
     with open_storage(folder) as storage:
         storage.load()
-        until = time.perf_counter() + SECONDS
-        while time.perf_counter() < until:
+        end = time.perf_counter() + SECONDS_PER_SIZE
+        while time.perf_counter() < end:
             entries = [
                 LogEntry(index + n + 1, 1, EntryKind.COMMAND, DATA)
                 for n in range(size)
@@ -44,9 +44,9 @@
 
 
 def main() -> None:
-    """Prints a row for each batch size."""
+    """Prints and saves a row for each batch size."""
     rows = []
-    for size in BATCHES:
+    for size in BATCH_SIZES:
         with tempfile.TemporaryDirectory() as folder:
             rows.append(measure(Path(folder), size))
         row = rows[-1]
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,7 +1,7 @@
-"""Direct against through the fleet: latency, requests a core, memory.
+"""Overhead of the fleet: added latency, throughput per core and memory.
 
-`.venv/bin/python bench/latency.py` prints one table and writes
-bench/out/latency.json.
+`.venv/bin/python bench/latency.py` compares direct requests to an endpoint
+with requests through the fleet and writes bench/out/latency.json.
 """
 
 import asyncio
@@ -16,16 +16,18 @@
     start_small_fleet,
 )
 
-WARM_UP = 200
-SEQUENTIAL = 1500
+WARM_UP_REQUESTS = 200
+SEQUENTIAL_REQUESTS = 1500
 BUSY_SECONDS = 10.0
 IDLE_SECONDS = 10.0
 CALLERS = 32
-ROLES = ("control-1", "control-2", "control-3", "entry-1", "agent-shop-1")
+PROCESSES = ("control-1", "control-2", "control-3", "entry-1", "agent-shop-1")
 
 
-async def timed(fleet: LocalFleet, url: str, headers: dict, count: int):
-    """Returns the seconds of requests sent one after the other."""
+async def send_sequentially(
+    fleet: LocalFleet, url: str, headers: dict, count: int
+):
+    """Sends requests one after the other; returns the seconds of each."""
     seconds = []
     for _ in range(count):
         started = time.perf_counter()
@@ -36,14 +38,16 @@
     return seconds
 
 
-async def busy(fleet: LocalFleet, url: str, headers: dict, seconds: float):
-    """Returns requests done by callers that never pause."""
-    until = time.perf_counter() + seconds
+async def send_concurrently(
+    fleet: LocalFleet, url: str, headers: dict, seconds: float
+):
+    """Sends requests from concurrent callers; returns their number."""
+    end = time.perf_counter() + seconds
     counts = []
 
     async def caller() -> None:
         done = 0
-        while time.perf_counter() < until:
+        while time.perf_counter() < end:
             async with fleet.session.get(url, headers=headers) as response:
                 await response.read()
                 assert response.status == 200, await response.text()
@@ -55,27 +59,29 @@
 
 
 def cpu_of(fleet: LocalFleet) -> dict[str, float]:
-    """Returns processor seconds so far, by process."""
-    return {name: fleet.children[name].cpu_seconds() for name in ROLES}
+    """Returns the CPU seconds used so far, by process."""
+    return {name: fleet.children[name].cpu_seconds() for name in PROCESSES}
 
 
 def rss_of(fleet: LocalFleet) -> dict[str, float]:
-    """Returns resident megabytes by process."""
-    return {name: fleet.children[name].rss_bytes() / 1e6 for name in ROLES}
+    """Returns the resident memory in megabytes, by process."""
+    return {name: fleet.children[name].rss_bytes() / 1e6 for name in PROCESSES}
 
 
-async def window(fleet: LocalFleet, work) -> tuple[dict, float, object]:
-    """Returns each process's share of a core while work runs."""
+async def measure_cpu(fleet: LocalFleet, work) -> tuple[dict, float, object]:
+    """Awaits some work; returns CPU use by process, seconds and its result."""
     before, started = cpu_of(fleet), time.perf_counter()
     result = await work
-    passed = time.perf_counter() - started
+    elapsed = time.perf_counter() - started
     after = cpu_of(fleet)
-    shares = {name: (after[name] - before[name]) / passed for name in ROLES}
-    return shares, passed, result
+    shares = {
+        name: (after[name] - before[name]) / elapsed for name in PROCESSES
+    }
+    return shares, elapsed, result
 
 
 async def run() -> dict:
-    """Runs all parts against one fleet."""
+    """Runs all measurements against one fleet."""
     text = (ROOT / "tests/roots/small/bundle.yaml").read_text()
     async with local_fleet() as fleet:
         await start_small_fleet(fleet, yaml.safe_load(text), entries=1)
@@ -88,25 +94,29 @@
         headers = fleet.headers("counter")
         out = {"rss_idle_mb": rss_of(fleet)}
         for name, url in (("direct", direct), ("through", through)):
-            await timed(fleet, url, headers, WARM_UP)
-            seconds = await timed(fleet, url, headers, SEQUENTIAL)
+            await send_sequentially(fleet, url, headers, WARM_UP_REQUESTS)
+            seconds = await send_sequentially(
+                fleet, url, headers, SEQUENTIAL_REQUESTS
+            )
             out[name] = {
                 "p50_ms": percentile(seconds, 0.5) * 1e3,
                 "p99_ms": percentile(seconds, 0.99) * 1e3,
             }
-        out["idle_cpu"], _, _ = await window(fleet, asyncio.sleep(IDLE_SECONDS))
-        out["busy_cpu"], passed, done = await window(
-            fleet, busy(fleet, through, headers, BUSY_SECONDS)
+        out["idle_cpu"], _, _ = await measure_cpu(
+            fleet, asyncio.sleep(IDLE_SECONDS)
         )
-        out["requests_per_second"] = done / passed
+        out["busy_cpu"], elapsed, done = await measure_cpu(
+            fleet, send_concurrently(fleet, through, headers, BUSY_SECONDS)
+        )
+        out["requests_per_second"] = done / elapsed
         share = out["busy_cpu"]["entry-1"]
-        out["requests_per_entry_core"] = done / passed / share
+        out["requests_per_entry_core"] = done / elapsed / share
         out["rss_busy_mb"] = rss_of(fleet)
         return out
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints and saves the measurements."""
     out = asyncio.run(run())
     save("latency", out)
     for name in ("direct", "through"):
@@ -122,7 +132,7 @@
         f"{out['requests_per_entry_core']:.0f} per entry core"
     )
     print("process         idle MB  busy MB   idle %   busy %")
-    for name in ROLES:
+    for name in PROCESSES:
         print(
             f"{name:<14} {out['rss_idle_mb'][name]:8.1f} "
             f"{out['rss_busy_mb'][name]:8.1f} "
--- a/bench/routers.py
+++ b/bench/routers.py
@@ -1,4 +1,4 @@
-"""Stand-in routers (the real membership code) and a fast operator."""
+"""Routers and an operator that run in a benchmark's own process."""
 
 import asyncio
 import secrets
@@ -19,28 +19,32 @@
 from marjoramyard.kernel.settings import LogSettings
 from marjoramyard.standin.local_fleet import APPROVER, AUTHOR, LocalFleet
 
-COMMAND_SECONDS = 20.0
+COMMAND_TIMEOUT_SECONDS = 20.0
 
-# Routers in a benchmark's own process would fill its output.
+# Suppresses the log lines of the routers.
 configure_logs(LogSettings(level="error"))
 
 
-class QuietMetrics:
-    """Counts nothing: many routers in one process would share one page."""
+class NullMetrics:
+    """Discards all metrics, as many routers share the process."""
 
     def count(self, *_: object, **__: object) -> None:
-        """Does nothing."""
+        """Discards the value."""
 
     def gauge(self, *_: object, **__: object) -> None:
-        """Does nothing."""
+        """Discards the value."""
 
 
 class Operator:
-    """Proposes, approves and rolls without a process for each step."""
+    """Proposes, approves and rolls changes without starting marjoramctl.
+
+    Attributes:
+        version: The version of the last bundle that was rolled out.
+    """
 
     def __init__(self, fleet: LocalFleet):
         secret = fleet.secret_file.read_text().strip()
-        self.client = InternalClient(secret, QuietMetrics())
+        self.client = InternalClient(secret, NullMetrics())
         self.control = ControlClient(
             self.client, list(fleet.control_hosts.values())
         )
@@ -51,33 +55,41 @@
         self.version = 0
 
     async def send(self, command):
-        """Has a command replicated."""
-        reply = await self.control.command(command, COMMAND_SECONDS)
+        """Sends a command to the control leader and returns its result."""
+        reply = await self.control.command(command, COMMAND_TIMEOUT_SECONDS)
         return reply.unwrap()
 
     async def put(self, rows: dict, remove: list[str] | None = None) -> int:
-        """Puts rows in force; returns the version."""
+        """Rolls out rows and removals; returns the version of the bundle."""
         change = Change(
             secrets.token_hex(8), self.version, AUTHOR, rows, remove or []
         )
 
-        def signed(who: str, action: str) -> str:
+        def signature(who: str, action: str) -> str:
             return sign(self.keys[who], change.signed_bytes(action))
 
-        name = change.change_id
-        await self.send(Propose(change, signed(AUTHOR, "propose")))
-        await self.send(Approve(name, APPROVER, signed(APPROVER, "approve")))
-        done = await self.send(Roll(name, AUTHOR, signed(AUTHOR, "roll")))
+        change_id = change.change_id
+        await self.send(Propose(change, signature(AUTHOR, "propose")))
+        await self.send(
+            Approve(change_id, APPROVER, signature(APPROVER, "approve"))
+        )
+        done = await self.send(
+            Roll(change_id, AUTHOR, signature(AUTHOR, "roll"))
+        )
         self.version = done.change.version
         return self.version
 
 
-class StandInRouter:
-    """One router's membership, with its own connection."""
+class BenchmarkRouter:
+    """The membership of one router, with its own connections.
+
+    Attributes:
+        installed: When each bundle version was installed, by version.
+    """
 
     def __init__(self, fleet: LocalFleet, number: int, role: str = "agent"):
         secret = fleet.secret_file.read_text().strip()
-        self.client = InternalClient(secret, QuietMetrics())
+        self.client = InternalClient(secret, NullMetrics())
         control = ControlClient(self.client, list(fleet.control_hosts.values()))
         row = DirectoryRow(
             f"router-{number}~{secrets.token_hex(4)}",
@@ -88,24 +100,24 @@
             slots=8,
             endpoint=f"endpoint-{number}",
         )
-        self.membership = Membership(control, QuietMetrics(), lambda: row)
+        self.membership = Membership(control, NullMetrics(), lambda: row)
         self.installed: dict[int, float] = {}
-        self.membership.on_bundle.append(self._note)
+        self.membership.on_bundle.append(self._record_install)
         self.task: asyncio.Task | None = None
 
-    def _note(self) -> None:
+    def _record_install(self) -> None:
         version = self.membership.bundle.version
         now = time.monotonic()
-        # A router that was behind gets several versions at once.
+        # A router that lags behind installs several versions at once.
         for number in range(max(self.installed, default=0) + 1, version + 1):
             self.installed[number] = now
 
     def start(self) -> None:
-        """Starts to renew."""
+        """Starts to renew the lease."""
         self.task = asyncio.ensure_future(self.membership.run())
 
     async def close(self) -> None:
-        """Ends it."""
+        """Stops the renewals and closes the connections."""
         if self.task is not None:
             self.task.cancel()
         await self.client.close()
@@ -113,9 +125,9 @@
 
 async def start_routers(
     fleet: LocalFleet, count: int, role: str = "agent"
-) -> list[StandInRouter]:
-    """Starts routers and waits until all hold a lease."""
-    routers = [StandInRouter(fleet, n, role) for n in range(count)]
+) -> list[BenchmarkRouter]:
+    """Starts routers and waits until all of them hold a lease."""
+    routers = [BenchmarkRouter(fleet, n, role) for n in range(count)]
     for router in routers:
         router.start()
     while not all(r.membership.holds_lease() for r in routers):
@@ -124,7 +136,7 @@
 
 
 def first_rows(fleet: LocalFleet, workspaces: int = 0) -> dict:
-    """Returns the rows of a first bundle."""
+    """Returns the rows of an initial bundle."""
     rows: dict = {
         f"operators/{who}": {"public_key": key}
         for who, key in fleet.public_keys.items()
@@ -136,7 +148,7 @@
 
 
 def workspace_row(number: int, share: float = 1.0) -> dict:
-    """Returns a workspace's row."""
+    """Returns the bundle row of a workspace."""
     return {
         "share": share,
         "services": ["chat"],
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes of state, messages, processor time and memory, for each role.
+"""Scaling of memory, messages and CPU time of each role with its load.
 
-`.venv/bin/python bench/slopes.py [NAME ...]` varies one thing over at least
-four values, fits a line and prints slope, intercept and fit; it writes
-bench/out/slopes.json. docs/CAPACITY.md is worked out from it.
+`.venv/bin/python bench/slopes.py [NAME ...]` varies one quantity over at least
+four values, fits a line and prints its slope, intercept and R2. It writes
+bench/out/slopes.json, from which docs/CAPACITY.md is derived.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 KB = 1024.0
 
 
-# Memory and time of structures, each value in a process of its own.
+# Memory and CPU time of data structures, each built in its own process.
 
 
 def _rss_bytes() -> int:
@@ -50,30 +50,32 @@
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-def _child(build, count, queue) -> None:
+def _build_and_measure(build, count, queue) -> None:
     build(1)
     before = _rss_bytes()
     started = time.process_time()
-    kept = build(count)
-    passed = time.process_time() - started
-    queue.put((_rss_bytes() - before, passed, len(str(type(kept)))))
+    built = build(count)
+    elapsed = time.process_time() - started
+    queue.put((_rss_bytes() - before, elapsed, len(str(type(built)))))
 
 
-def in_child(build, count: int) -> tuple[float, float]:
-    """Returns the bytes and seconds that building something takes."""
-    # A forked child would reuse what its parent freed and show no growth.
+def measure_in_child(build, count: int) -> tuple[float, float]:
+    """Returns the bytes and CPU seconds that building a structure takes."""
+    # A forked child would reuse memory that its parent freed.
     context = multiprocessing.get_context("spawn")
     queue = context.Queue()
-    child = context.Process(target=_child, args=(build, count, queue))
+    child = context.Process(
+        target=_build_and_measure, args=(build, count, queue)
+    )
     child.start()
-    taken, passed, _ = queue.get(timeout=60)
+    size, elapsed, _ = queue.get(timeout=60)
     child.join()
-    return taken, passed
+    return size, elapsed
 
 
 def memory_fit(name: str, build, counts: list[int]) -> list[Fit]:
-    """Fits memory and processor time to a count."""
-    measured = [(n, in_child(build, n)) for n in counts]
+    """Fits the memory and CPU time of a structure to its size."""
+    measured = [(n, measure_in_child(build, n)) for n in counts]
     return [
         fit(f"{name}: memory", "KB", [(n, m[0] / KB) for n, m in measured]),
         fit(f"{name}: time", "ms", [(n, m[1] * 1e3) for n, m in measured]),
@@ -87,7 +89,7 @@
 
 
 def _raw_rows(count: int) -> dict[str, msgspec.Raw]:
-    """Returns a snapshot's rows as a router receives them."""
+    """Returns the rows of a snapshot as a router receives them."""
     parts = [
         b'"workspaces/w%d":%s' % (n, msgspec.json.encode(workspace_row(n)))
         for n in range(count)
@@ -117,7 +119,7 @@
 
 @MEASURES.register("bundle")
 def measure_bundle() -> list[Fit]:
-    """Per workspace in the bundle, at a router."""
+    """Measures the bundle per workspace, at each role."""
     counts = [1000, 6000, 12000, 24000]
     sizes = [(n, len(msgspec.json.encode(_bundle_rows(n)))) for n in counts]
     return [
@@ -142,7 +144,7 @@
 
 @MEASURES.register("ledger")
 def measure_ledger() -> list[Fit]:
-    """Per started call in the ledger, at a control host."""
+    """Measures the ledger per started call, at a control host."""
     return memory_fit(
         "control, per ledger entry", _build_ledger, [5000, 20000, 40000, 80000]
     )
@@ -152,21 +154,31 @@
     state = _build_ledger(count)
     started = time.perf_counter()
     text = state.snapshot()
-    wrote = time.perf_counter() - started
+    write_seconds = time.perf_counter() - started
     started = time.perf_counter()
     ControlState.restore(text)
-    return wrote, time.perf_counter() - started, len(text)
+    return write_seconds, time.perf_counter() - started, len(text)
 
 
 @MEASURES.register("snapshot")
 def measure_snapshot() -> list[Fit]:
-    """Per ledger entry in a snapshot, and at a restart."""
+    """Measures snapshots per ledger entry: write, restore and size."""
     counts = [5000, 20000, 40000, 80000]
-    got = [(n, _snapshot_seconds(n)) for n in counts]
+    measured = [(n, _snapshot_seconds(n)) for n in counts]
     return [
-        fit("control, snapshot taken", "ms", [(n, g[0] * 1e3) for n, g in got]),
-        fit("control, snapshot read", "ms", [(n, g[1] * 1e3) for n, g in got]),
-        fit("control, snapshot size", "bytes", [(n, g[2]) for n, g in got]),
+        fit(
+            "control, snapshot taken",
+            "ms",
+            [(n, m[0] * 1e3) for n, m in measured],
+        ),
+        fit(
+            "control, snapshot read",
+            "ms",
+            [(n, m[1] * 1e3) for n, m in measured],
+        ),
+        fit(
+            "control, snapshot size", "bytes", [(n, m[2]) for n, m in measured]
+        ),
     ]
 
 
@@ -188,7 +200,7 @@
 
 @MEASURES.register("directory")
 def measure_directory() -> list[Fit]:
-    """Per endpoint in the directory."""
+    """Measures the directory per endpoint."""
     counts = [1000, 2000, 4000, 8000]
     sizes = []
     for n in counts:
@@ -213,7 +225,7 @@
 
 @MEASURES.register("backlog")
 def measure_backlog() -> list[Fit]:
-    """Per backlogged workspace at an agent."""
+    """Measures scheduler and offers per backlogged workspace, at an agent."""
     counts = [100, 800, 1600, 2400]
     sizes = []
     for n in counts:
@@ -228,7 +240,7 @@
 
 
 def _build_totals(count: int) -> Totals:
-    """`count` rows: agents times the 100 workspaces each has served."""
+    """Returns `count` rows of agents that have served 100 workspaces each."""
     totals = Totals("entry")
     for first in range(0, count, 100):
         source = Totals(f"agent-{first // 100}")
@@ -241,7 +253,7 @@
 
 @MEASURES.register("totals")
 def measure_totals() -> list[Fit]:
-    """Per row of shared totals, at an entry or agent."""
+    """Measures shared totals per row, at an entry or agent."""
     counts = [1000, 5000, 10000, 20000]
     sizes = []
     for n in counts:
@@ -253,16 +265,17 @@
     ]
 
 
-# Processes.
+# Running processes.
 
 
 async def _cpu_share(children, work) -> list[float]:
+    """Awaits some work; returns the share of a core of each process."""
     before = [c.cpu_seconds() for c in children]
     started = time.monotonic()
     await work
-    passed = time.monotonic() - started
+    elapsed = time.monotonic() - started
     return [
-        (c.cpu_seconds() - b) / passed
+        (c.cpu_seconds() - b) / elapsed
         for c, b in zip(children, before, strict=True)
     ]
 
@@ -304,7 +317,7 @@
 
 @MEASURES.register("renewals")
 def measure_renewals() -> list[Fit]:
-    """Per router that renews its lease at rest."""
+    """Measures lease renewals per router, without other load."""
     return asyncio.run(_renewals())
 
 
@@ -358,7 +371,7 @@
 
 @MEASURES.register("changes")
 def measure_changes() -> list[Fit]:
-    """Per change of the bundle that is proposed, approved and rolled."""
+    """Measures bundle changes per second, from proposal to rollout."""
     return asyncio.run(_changes())
 
 
@@ -368,7 +381,7 @@
 
 
 async def _at_rate(rate: float, seconds: float, send) -> int:
-    """Sends at a rate, whether or not answers come in time."""
+    """Sends at a fixed rate, regardless of responses; returns the count."""
     work = []
     started = time.monotonic()
     for number in range(int(rate * seconds)):
@@ -408,7 +421,7 @@
 
 @MEASURES.register("requests")
 def measure_requests() -> list[Fit]:
-    """Per plain request a second."""
+    """Measures non-streaming requests per second."""
     return asyncio.run(_requests())
 
 
@@ -448,7 +461,7 @@
 
 @MEASURES.register("tokens")
 def measure_tokens() -> list[Fit]:
-    """Per token a second that streams through."""
+    """Measures streamed tokens per second."""
     return asyncio.run(_tokens())
 
 
@@ -465,7 +478,7 @@
         content = "x" * 2000
         work: list[asyncio.Task] = []
 
-        async def wait_in_line() -> None:
+        async def wait_in_queue() -> None:
             async with fleet.session.post(
                 fleet.url("entry-1", "/v1/chat/completions"),
                 headers=fleet.headers("counter"),
@@ -475,11 +488,11 @@
 
         for count in (50, 200, 400, 800):
             while len(work) < count:
-                work.append(asyncio.ensure_future(wait_in_line()))
+                work.append(asyncio.ensure_future(wait_in_queue()))
             await asyncio.sleep(2.0)
-            before = await _sent(fleet, "entry-1")
+            before = await _control_bytes(fleet, "entry-1")
             share = await _cpu_share([entry], asyncio.sleep(WINDOW_SECONDS / 2))
-            after = await _sent(fleet, "entry-1")
+            after = await _control_bytes(fleet, "entry-1")
             rss.append((count, entry.rss_bytes() / KB))
             cpu.append((count, share[0] * 100))
             wire.append((count, (after - before) / (WINDOW_SECONDS / 2)))
@@ -493,7 +506,7 @@
     ]
 
 
-async def _sent(fleet, name: str) -> float:
+async def _control_bytes(fleet, name: str) -> float:
     page = await fleet.metrics_page(fleet.internal_addresses[name])
     return sum(
         float(line.rpartition(" ")[2])
@@ -504,7 +517,7 @@
 
 @MEASURES.register("waiting")
 def measure_waiting() -> list[Fit]:
-    """Per request that waits at an entry."""
+    """Measures queued requests at an entry."""
     return asyncio.run(_waiting())
 
 
@@ -538,19 +551,19 @@
 
 @MEASURES.register("calls")
 def measure_calls() -> list[Fit]:
-    """Per call that must not repeat: one look-up, two commands."""
+    """Measures non-idempotent calls per second: a look-up and two commands."""
     return asyncio.run(_calls())
 
 
 def main() -> None:
-    """Runs the named measures, or all."""
+    """Runs the named measurements, or all of them."""
     path = OUT / "slopes.json"
     out = json.loads(path.read_text()) if path.exists() else {}
     for name in sys.argv[1:] or MEASURES:
-        lines = MEASURES.get(name)()
-        for line in lines:
+        fits = MEASURES.get(name)()
+        for line in fits:
             show_fit(line)
-        out[name] = [msgspec.to_builtins(line) for line in lines]
+        out[name] = [msgspec.to_builtins(line) for line in fits]
     save("slopes", out)
 
 
