--- a/bench/fairness_model.py
+++ b/bench/fairness_model.py
@@ -16,7 +16,7 @@
     FairScheduler,
     OfferRow,
 )
-from marjoramyard.coordination.fairness.totals import Totals, TotalsLink
+from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.coordination.serving.prefixes import PrefixHistory
 
 TOKENS_PER_SECOND = 40.0
@@ -341,10 +341,10 @@
             for n in range(len(self.free))
         ]
         self.entries = [Totals(f"entry-{n}") for n in range(len(self.queues))]
-        self.links = {
+        self.syncs = {
             (a, e): (
-                TotalsLink(agent.totals),
-                TotalsLink(entry),
+                TotalsSync(agent.totals),
+                TotalsSync(entry),
             )
             for a, agent in enumerate(self.agents)
             for e, entry in enumerate(self.entries)
@@ -355,16 +355,18 @@
 
     def exchange(self):
         """Exchanges totals and offers between all agents and entries."""
-        for (a, e), (agent_link, entry_link) in self.links.items():
-            entry_link.incoming(agent_link.outgoing())
-            agent_link.incoming(entry_link.outgoing())
+        for (a, e), (agent_sync, entry_sync) in self.syncs.items():
+            entry_sync.apply_delta(agent_sync.make_delta())
+            agent_sync.apply_delta(entry_sync.make_delta())
             self.offer(a, e)
         self.schedule(self.scenario.sync_interval, self.exchange)
 
     def offer(self, a, e):
         self.sequence += 1
         scheduler = self.agents[a]
-        scheduler.hear(f"entry-{e}", f"z{e % 3}", self.sequence, self.now)
+        scheduler.record_message(
+            f"entry-{e}", f"z{e % 3}", self.sequence, self.now
+        )
         rows = [
             OfferRow(n, len(q), q[0].prefix)
             for n, q in self.queues[e].items()
@@ -387,21 +389,21 @@
     def on_ended(self, run):
         scheduler = self.agents[run[1]]
         scheduler.release(run[0].workspace, self.reserved.pop(id(run[0])))
-        scheduler.finished(run[0].workspace, run[0].cost)
+        scheduler.record_finish(run[0].workspace, run[0].cost)
 
     def dispatch(self):
         for a, scheduler in enumerate(self.agents):
             while self.up[a] and self.free[a] > 0:
-                choice = scheduler.next(self.warm_at(a))
+                choice = scheduler.choose(self.warm_at(a))
                 if choice is None:
                     break
-                scheduler.taken(choice)
+                scheduler.record_grant(choice)
                 entry = int(choice.entry.partition("-")[2])
                 if not self.queues[entry][choice.workspace]:
-                    scheduler.unused(choice)
+                    scheduler.withdraw_unused(choice)
                     continue
                 request = self.queues[entry][choice.workspace][0]
-                reserve = scheduler.started(choice.workspace)
+                reserve = scheduler.record_start(choice.workspace)
                 self.reserved[id(request)] = reserve
                 self.start(a, entry, choice.workspace)
 
@@ -422,7 +424,7 @@
         cache = self.caches[engine]
         self.runs += 1
         is_hit = cache.is_warm(request.prefix)
-        cache.ran(request.prefix)
+        cache.record_run(request.prefix)
         self.hits += is_hit
         return 0.0 if is_hit else PREFILL_SECONDS
 
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -56,7 +56,7 @@
             self.app.incarnation,
             "agent",
             settings.zone,
-            settings.reachable,
+            settings.advertised_address,
             announced.service if announced else "",
             state,
             self.endpoint.slots.limit if announced else 0,
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -6,7 +6,7 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.coordination.serving.frames import Frame, FrameHead
+from marjoramyard.coordination.serving.frames import Frame, FrameHeader
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import FailureBody
 from marjoramyard.fleet.util.headers import copy_headers, is_stream
@@ -44,7 +44,7 @@
         self.request = request
         self.stall_seconds = stall_seconds
         self.response: web.StreamResponse | None = None
-        self.head: FrameHead | None = None
+        self.head: FrameHeader | None = None
         self.buffer = bytearray()
         self.first_byte_at: float | None = None
 
@@ -69,7 +69,7 @@
                 await self._add_data(frame.data)
         raise ResponseFailedError(
             failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the response ended without its end frame",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/gateway/view.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/view.py
@@ -17,7 +17,7 @@
 from marjoramyard.fleet.gateway.dialect import GatewayDialect
 from marjoramyard.fleet.syncing import SyncReply
 from marjoramyard.kernel.logs import get_logger
-from marjoramyard.kernel.util.clocks import boot_seconds
+from marjoramyard.kernel.util.clocks import seconds_since_boot
 
 logger = get_logger(__name__)
 
@@ -77,7 +77,7 @@
 
     def has_valid_lease(self) -> bool:
         """Whether API keys may be accepted."""
-        return self.lease.is_valid(boot_seconds())
+        return self.lease.is_valid(seconds_since_boot())
 
     def apply(self, source: str, reply: SyncReply, sent_at: float) -> None:
         """Applies a control host's reply.
--- a/packages/fleet/tests/entry/test_dispatchers.py
+++ b/packages/fleet/tests/entry/test_dispatchers.py
@@ -5,7 +5,10 @@
 import pytest
 
 from marjoramyard.coordination.governance.directory import DirectoryRow
-from marjoramyard.coordination.serving.waiting import RequestClass, Waiting
+from marjoramyard.coordination.serving.request_queues import (
+    QueuedRequest,
+    RequestClass,
+)
 from marjoramyard.fleet.entry.dispatchers import Dispatchers
 from marjoramyard.kernel.errors import FleetError, Kind
 
@@ -69,7 +72,7 @@
     )
     dispatcher.refresh(0.0)
     assert offered == set()
-    item = Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+    item = QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     dispatcher.queue.add(item)
     for _ in range(500):
         dispatcher.refresh(1e9)
@@ -86,7 +89,7 @@
     offered = []
     dispatcher._send_offer = lambda view, full=False: offered.append(view.free)
     dispatcher.queue.add(
-        Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+        QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     )
     dispatcher._flush()
     assert sorted(offered) == [0, 0, 1, 1, 1]
@@ -99,7 +102,7 @@
     dispatcher = dispatchers.get("chat")
     view = next(iter(dispatcher.agents.values()))
     view.entries = 10
-    dispatcher.totals.learn({})
+    dispatcher.totals.update_recovery({})
     dispatcher.totals.add("w", 5.0)
     assert dispatcher._totals_for(view).origins
     view.link.peer = view.row.incarnation
@@ -149,7 +152,7 @@
     dispatchers = make_dispatchers()
     dispatcher = dispatchers.get("chat")
     dispatcher.queue.add(
-        Waiting("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
+        QueuedRequest("w", RequestClass.INTERACTIVE, 0.0, 1, "", None)
     )
     with pytest.raises(FleetError) as refused:
         await dispatcher.wait(request_, first=False)
--- a/packages/kernel/src/marjoramyard/kernel/errors.py
+++ b/packages/kernel/src/marjoramyard/kernel/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures: each kind has an outcome, a status and a remedy."""
+"""Typed failures: error codes, HTTP statuses and request outcomes."""
 
 from enum import Enum
 
@@ -6,7 +6,11 @@
 
 
 class Outcome(Enum):
-    """What a caller is told about its request; there are exactly three."""
+    """The outcome of a request, as reported to its caller.
+
+    `NOT_RUN` guarantees that nothing was executed; after `UNKNOWN` the
+    request may have been executed.
+    """
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -14,7 +18,7 @@
 
 
 class Kind(Enum):
-    """The kinds of failure, with the HTTP status that carries each."""
+    """The kinds of failure: the error code and the HTTP status of each."""
 
     MISSING_KEY = ("missing_api_key", 401)
     UNKNOWN_KEY = ("unknown_api_key", 401)
@@ -23,10 +27,10 @@
     UNKNOWN_ROUTE = ("unknown_route", 404)
     BAD_REQUEST = ("bad_request", 400)
     TOO_LARGE = ("request_too_large", 413)
-    KEY_REQUIRED = ("idempotency_key_required", 400)
-    KEY_REUSED = ("idempotency_key_reused", 422)
-    IN_PROGRESS = ("call_in_progress", 409)
-    CALL_UNKNOWN = ("call_outcome_unknown", 409)
+    IDEMPOTENCY_KEY_REQUIRED = ("idempotency_key_required", 400)
+    IDEMPOTENCY_KEY_REUSED = ("idempotency_key_reused", 422)
+    CALL_IN_PROGRESS = ("call_in_progress", 409)
+    CALL_OUTCOME_UNKNOWN = ("call_outcome_unknown", 409)
     WORKSPACE_FULL = ("workspace_queue_full", 429)
     DEADLINE = ("deadline_passed", 504)
     NO_LEASE = ("no_bundle_lease", 503)
@@ -38,29 +42,29 @@
     NO_QUORUM = ("no_quorum", 503)
     NOT_LEADER = ("not_leader", 421)
     QUARANTINED = ("request_quarantined", 422)
-    HELD_APART = ("suspect_held_apart", 503)
-    RETRIES_SPENT = ("retry_budget_spent", 503)
+    SUSPECT_HELD = ("suspect_held_apart", 503)
+    RETRY_BUDGET_EXHAUSTED = ("retry_budget_spent", 503)
     ENDPOINT_LOST = ("endpoint_lost", 502)
     ENDPOINT_STALLED = ("endpoint_stalled", 504)
-    ANSWER_CUT = ("answer_cut", 502)
+    RESPONSE_TRUNCATED = ("answer_cut", 502)
     CANCELLED = ("cancelled", 409)
     UNAUTHENTICATED = ("unauthenticated", 401)
     CONFLICT = ("version_conflict", 409)
     INVALID_BUNDLE = ("invalid_bundle", 422)
     INVALID_SIGNATURE = ("invalid_signature", 403)
     NOT_FOUND = ("not_found", 404)
-    STALE_ORDER = ("stale_fencing_number", 409)
+    STALE_FENCING_NUMBER = ("stale_fencing_number", 409)
     UNINITIALISED = ("uninitialised", 503)
     INTERNAL = ("internal", 500)
 
     @property
     def code(self) -> str:
-        """The name that callers see."""
+        """The error code in responses."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status of the response."""
         return self.value[1]
 
 
@@ -68,15 +72,16 @@
 
 
 class Failure(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One failure as it travels: between processes and to callers.
+    """A failure as it is sent between processes and to callers.
 
     Attributes:
         code: The `Kind.code`.
         message: What happened and what to do about it.
-        outcome: The `Outcome` value of the request it ended.
-        retry_after: Seconds after which coming back helps, if it does.
-        leader: Where the control leader listens, if the failure is that
-            this host is not it.
+        outcome: The `Outcome` value of the request.
+        retry_after: Seconds to wait before a retry; None if a retry won't
+            help.
+        leader: The address of the control leader, if the request was
+            refused because this host is not the leader.
     """
 
     code: str
@@ -87,7 +92,7 @@
 
     @property
     def kind(self) -> Kind:
-        """The typed kind; a code of a newer release reads as internal."""
+        """The kind; `INTERNAL` for a code that this release doesn't know."""
         return KIND_BY_CODE.get(self.code, Kind.INTERNAL)
 
 
@@ -97,12 +102,12 @@
     outcome: Outcome = Outcome.NOT_RUN,
     retry_after: float | None = None,
 ) -> Failure:
-    """Builds a failure of a typed kind."""
+    """Builds a `Failure` of the given kind."""
     return Failure(kind.code, message, outcome.value, retry_after)
 
 
 class FleetError(Exception):
-    """A failure raised through layers that have nothing to add to it."""
+    """An exception that carries a `Failure`."""
 
     def __init__(self, reason: Failure):
         super().__init__(f"{reason.code}: {reason.message}")
