--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -21,7 +21,7 @@
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import (
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
     OfferMessage,
@@ -263,7 +263,7 @@
             for view in self.agents.values():
                 view.offered.discard(workspace)
 
-    def on_free(self, message: FreeMessage) -> None:
+    def on_free(self, message: FreeSlotsMessage) -> None:
         """Records an agent's free slots and offers it the backlog."""
         view = self.agents.get(message.agent)
         if view is None:
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -14,10 +14,10 @@
     RequestHandler,
     RequestMetrics,
 )
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
 )
@@ -51,7 +51,7 @@
         self.active = 0
         self.leaving = False
         self.control = ControlClient(app.client, app.settings.control_hosts)
-        self.membership = Membership(self.control, app.metrics, self.row)
+        self.membership = RouterMembership(self.control, app.metrics, self.row)
         self.dispatchers = Dispatchers(app)
         self.admission = Admission(
             self.membership, app.settings.max_header_bytes
@@ -96,7 +96,7 @@
 
     async def on_free(self, request: web.Request) -> web.Response:
         """Handles an agent's message that it has free slots."""
-        message = await read_message(request, FreeMessage)
+        message = await read_message(request, FreeSlotsMessage)
         self.dispatchers.get(ServiceId(message.service)).on_free(message)
         return json_response(Empty())
 
@@ -146,7 +146,7 @@
     async def drain(self) -> None:
         """Refuses new requests and waits until the active ones ended."""
         self.leaving = True
-        self.membership.announce_soon()
+        self.membership.announce_now()
         while self.active:
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
--- a/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/control_sync.py
@@ -7,7 +7,7 @@
 from marjoramyard.fleet import paths
 from marjoramyard.fleet.application import Application
 from marjoramyard.fleet.gateway.view import FleetView
-from marjoramyard.fleet.syncing import SyncReply, SyncRequest
+from marjoramyard.fleet.sync_messages import SyncReply, SyncRequest
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.util.clocks import seconds_since_boot
 
@@ -47,7 +47,7 @@
 
     def target_addresses(self) -> set[str]:
         """Returns the internal addresses of the control hosts to poll."""
-        return self.view.control_addresses | set(self.settings.seed_peers())
+        return self.view.control_addresses | set(self.settings.seed_addresses())
 
     def _spare_capacity(self) -> float:
         """Returns the cores available for brokering; 0 while draining."""
--- a/packages/fleet/tests/control/test_storage_failure.py
+++ b/packages/fleet/tests/control/test_storage_failure.py
@@ -1,4 +1,4 @@
-"""A disk that refuses writes, and takes them again."""
+"""A disk that refuses writes for a time."""
 
 import errno
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 
 from marjoramyard.coordination.consensus.messages import Membership
 from marjoramyard.coordination.governance.commands import ConfigDocument
-from marjoramyard.fleet.control import role as control
+from marjoramyard.fleet.control import role as control_role
 from marjoramyard.fleet.control.storage import open_storage
 from marjoramyard.fleet.settings import ControlSettings
 from marjoramyard.fleet.util.tasks import task_group
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def host(tmp_path, monkeypatch):
-    monkeypatch.setattr(control, "_REOPEN_SECONDS", 0.01)
+    monkeypatch.setattr(control_role, "_STORAGE_RETRY_SECONDS", 0.01)
     settings = ControlSettings(
         role="control",
         name="c",
@@ -39,17 +39,18 @@
                     tasks=tasks,
                     client=None,
                 )
-                running = control.ControlRole(app, storage)
-                me = ReplicaId(running.spare_id)
-                running.initialise(
-                    "cluster", Membership((me,), (), {me: "127.0.0.1:9"})
+                role = control_role.ControlRole(app, storage)
+                replica = ReplicaId(role.unassigned_replica_id)
+                role.initialise(
+                    "cluster",
+                    Membership((replica,), (), {replica: "127.0.0.1:9"}),
                 )
 
                 async def leads():
-                    return running.leads()
+                    return role.is_leader()
 
                 await wait_until(leads, "a leader")
-                yield running
+                yield role
     finally:
         metrics.close()
 
@@ -58,30 +59,29 @@
     def full(*_):
         raise OSError(errno.ENOSPC, "no space left")
 
-    monkeypatch.setattr(storage, "write", full)
-    monkeypatch.setattr(storage, "probe", full)
+    monkeypatch.setattr(storage, "append", full)
+    monkeypatch.setattr(storage, "check_writable", full)
 
 
 async def test_a_full_disk_refuses_and_loses_nothing(host, monkeypatch):
-    """An operator would be told yes for a change that is on no disk.
+    """Guards against acknowledging a change that is not on disk.
 
-    A change is acknowledged, then the disk takes no more bytes. The next
-    change gets no acknowledgement; the first is still there once the disk
-    takes writes again, and so is service, without a restart.
+    Changes are refused while the disk is full. Afterwards, the host serves
+    again without a restart of the process, with all acknowledged changes.
     """
     first, second = ConfigDocument(1, b"one"), ConfigDocument(2, b"two")
-    assert isinstance(await host.service.accept(first), Ok)
+    assert isinstance(await host.service.put_config(first), Ok)
     with monkeypatch.context() as patched:
         refuse_writes(host.storage, patched)
-        assert isinstance(await host.service.accept(second), Err)
-        assert not host.leads()
-        assert host.running is None
+        assert isinstance(await host.service.put_config(second), Err)
+        assert not host.is_leader()
+        assert host.running_node is None
 
     async def leads():
-        return host.leads()
+        return host.is_leader()
 
-    await wait_until(leads, "the replica to start anew")
-    read = await host.service.read()
+    await wait_until(leads, "the replica to restart")
+    read = await host.service.read_config()
     assert read.ok_value.document in (first, second)
-    assert isinstance(await host.service.accept(second), Ok)
-    assert host.service.newest() == second
+    assert isinstance(await host.service.put_config(second), Ok)
+    assert host.service.newest_config() == second
--- a/packages/standin/src/marjoramyard/standin/local_fleet.py
+++ b/packages/standin/src/marjoramyard/standin/local_fleet.py
@@ -101,7 +101,7 @@
     # Processes.
 
     async def start_child(self, name: str, command: list[str]) -> ChildProcess:
-        """Starts a process, replacing the one of the same name."""
+        """Starts a process under a name that no running process has."""
         log = self.folder / f"{name}.log"
         child = ChildProcess(name, command, log)
         self.children[name] = child
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -11,7 +11,7 @@
 from marjoramyard.coordination.governance.commands import ConfigDocument
 from marjoramyard.coordination.membership.registrations import EndpointState
 from marjoramyard.coordination.routing.config import RequestKind
-from marjoramyard.fleet.syncing import StoredConfig
+from marjoramyard.fleet.sync_messages import StoredConfig
 from marjoramyard.kernel.errors import Kind, failure
 from marjoramyard.platform.configurations import (
     check_configuration,
@@ -82,16 +82,16 @@
     def register(self, registration):
         self.registrations.append(registration)
 
-    def depart(self, endpoint):
+    def mark_departed(self, endpoint):
         self.departed.append(endpoint)
 
-    async def accept(self, document):
+    async def put_config(self, document):
         if not self.quorum:
             return Err(failure(Kind.NO_QUORUM, "none"))
         self.document = document
         return Ok(None)
 
-    async def read(self):
+    async def read_config(self):
         if not self.quorum:
             return Err(failure(Kind.NO_QUORUM, "none"))
         return Ok(StoredConfig(self.document))
