--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,7 +9,7 @@
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.standin.relay import Relay
 from soak.fleet import Node, SoakFleet
-from soak.misbehaving import Wrong
+from soak.host_faults import Wrong
 from soak.plan import Fault, FaultKind, Target
 
 DELAY_SECONDS = 0.15
