--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak by hand: `scripts/soak --seeds 50`."""
+"""Command line of the soak test: `scripts/soak --seeds 50`."""
 
 import asyncio
 import random
@@ -12,26 +12,28 @@
 import msgspec
 
 from soak.checks import violations
-from soak.plan import Size
+from soak.plan import FleetSize
 from soak.record import Record
-from soak.run import soak
+from soak.run import run_seed
 
 SEED_BOUND = 1_000_000
 
 
 @click.command()
-@click.option("--seeds", default=3, help="How many seeds to run.")
-@click.option("--first", type=int, help="The first seed; else a fresh one.")
-@click.option("--seconds", default=20.0, help="How long faults strike.")
-@click.option("--jobs", default=1, help="How many runs at a time.")
-@click.option("--controls", default=3, help="Control hosts, an odd number.")
-@click.option("--gateways", default=3, help="Gateways.")
-@click.option("--endpoints", default=4, help="Endpoints.")
-@click.option("--callers", default=6, help="Callers.")
+@click.option("--seeds", default=3, help="Number of seeds to run.")
+@click.option("--first", type=int, help="First seed; random if omitted.")
+@click.option("--seconds", default=20.0, help="Duration of the fault phase.")
+@click.option("--jobs", default=1, help="Number of concurrent runs.")
+@click.option(
+    "--controls", default=3, help="Number of control hosts; must be odd."
+)
+@click.option("--gateways", default=3, help="Number of gateways.")
+@click.option("--endpoints", default=4, help="Number of endpoints.")
+@click.option("--callers", default=6, help="Number of concurrent callers.")
 @click.option(
     "--keep",
     type=click.Path(path_type=Path),
-    help="Where records and logs of failed seeds go.",
+    help="Folder for the records and logs of failed seeds.",
 )
 def main(
     seeds: int,
@@ -41,54 +43,57 @@
     keep: Path | None,
     **sizes: int,
 ) -> None:
-    """Plays seeds against the real programs and checks the promises."""
+    """Runs the fleet under random faults and checks its guarantees."""
     if first is None:
         first = random.randrange(SEED_BOUND)
     keep = keep or Path(tempfile.gettempdir()) / "marjoramyard-soak"
-    wanted = range(first, first + seeds)
-    runner = Runner(seconds, Size(**sizes), keep)
-    failed = asyncio.run(runner.run_all(wanted, jobs))
+    seed_range = range(first, first + seeds)
+    runner = Runner(seconds, FleetSize(**sizes), keep)
+    failed = asyncio.run(runner.run_all(seed_range, jobs))
     click.echo(f"{seeds - len(failed)} passed, {len(failed)} failed")
     if failed:
-        click.echo(f"failed seeds: {failed}; kept in {keep}")
+        click.echo(f"failed seeds: {failed}; records are in {keep}")
         sys.exit(1)
 
 
 class Runner:
-    """Plays seeds, some at a time."""
+    """Runs seeds concurrently, up to a limit."""
 
-    def __init__(self, seconds: float, size: Size, keep: Path):
+    def __init__(self, seconds: float, size: FleetSize, keep: Path):
         self.seconds = seconds
         self.size = size
         self.keep = keep
 
     async def run_all(self, seeds: range, jobs: int) -> list[int]:
-        """Returns the seeds that broke a promise."""
-        gate = asyncio.Semaphore(jobs)
+        """Returns the seeds that violated a guarantee or did not finish."""
+        semaphore = asyncio.Semaphore(jobs)
 
         async def one(seed: int) -> bool:
-            async with gate:
+            async with semaphore:
                 return await self.run_one(seed)
 
         passed = await asyncio.gather(*(one(seed) for seed in seeds))
         return [s for s, ok in zip(seeds, passed, strict=True) if not ok]
 
     async def run_one(self, seed: int) -> bool:
-        """Plays one seed; keeps its record and logs if it fails."""
+        """Runs one seed and returns whether it passed.
+
+        The record and the logs are kept only if it failed.
+        """
         folder = self.keep / f"seed-{seed}"
         shutil.rmtree(folder, ignore_errors=True)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            record = await soak(seed, self.seconds, folder, self.size)
-        except Exception as error:  # noqa: BLE001 one seed, the others go on
-            click.echo(f"seed {seed}: did not run: {error!r}")
+            record = await run_seed(seed, self.seconds, folder, self.size)
+        except Exception as error:  # noqa: BLE001 other seeds must still run
+            click.echo(f"seed {seed}: run aborted: {error!r}")
             return False
-        broken = violations(record)
-        took = time.monotonic() - began
-        click.echo(f"seed {seed}: {summary(record)}, {took:.0f} s")
-        for line in broken[:10]:
+        found = violations(record)
+        elapsed = time.monotonic() - started_at
+        click.echo(f"seed {seed}: {summary(record)}, {elapsed:.0f} s")
+        for line in found[:10]:
             click.echo(f"  {line}")
-        if broken:
+        if found:
             text = msgspec.json.format(msgspec.json.encode(record), indent=1)
             (folder / "record.json").write_bytes(text)
             return False
@@ -97,11 +102,13 @@
 
 
 def summary(record: Record) -> str:
-    """Returns what happened, in a line."""
-    whole = sum(c.is_whole and c.status == 200 for c in record.calls)
+    """Returns a one-line summary of a run."""
+    complete = sum(c.is_complete and c.status == 200 for c in record.calls)
     return (
-        f"{len(record.calls)} calls, {whole} whole, {len(record.runs)} runs, "
-        f"{len(record.orders)} changes, {len(record.spans)} faults"
+        f"{len(record.calls)} calls, {complete} complete, "
+        f"{len(record.attempts)} attempts, "
+        f"{len(record.config_changes)} config changes, "
+        f"{len(record.fault_spans)} faults"
     )
 
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that use open connections until the process is gone."""
+"""Callers that send requests over keep-alive connections."""
 
 import asyncio
 import itertools
@@ -7,35 +7,40 @@
 
 import aiohttp
 
-from soak.record import STREAMS, Call, Kind, Record
+from soak.record import STREAM_KINDS, Call, Record, RouteKind
 
-PATIENCE_SECONDS = 2.5
-HARD_SECONDS = 6.0
-"""A caller that hears nothing at all hangs up after this."""
-PAUSE_SECONDS = 0.03
-KEYS = 6
+DEADLINE_SECONDS = 2.5
+CLIENT_TIMEOUT_SECONDS = 6.0
+"""Timeout of the HTTP client, later than the request's own deadline."""
+MEAN_PAUSE_SECONDS = 0.03
+KEY_COUNT = 6
 
 
-def key(number: int) -> str:
-    """Returns one of the workspace's keys."""
+def api_key(number: int) -> str:
+    """Returns an API key of the workspace."""
     return f"key-{number}"
 
 
 class Callers:
-    """Sends requests to all gateways, ready or not, and notes the answers."""
+    """Sends requests to random gateways and records the responses.
+
+    Gateways that are not ready are called too.
+    """
 
     def __init__(self, record: Record, addresses: list[str], seed: int):
         self.record = record
         self.addresses = addresses
         self.rng = random.Random(seed + 1)
         self.seed = seed
-        self.numbers = itertools.count(1)
+        self.call_numbers = itertools.count(1)
         self.stopped = False
         self.sessions: list[aiohttp.ClientSession] = []
 
     async def run(self, count: int) -> None:
-        """Runs so many callers until told to stop."""
-        timeout = aiohttp.ClientTimeout(total=HARD_SECONDS, sock_connect=1.0)
+        """Runs `count` callers until `stopped` is set."""
+        timeout = aiohttp.ClientTimeout(
+            total=CLIENT_TIMEOUT_SECONDS, sock_connect=1.0
+        )
         self.sessions = [
             aiohttp.ClientSession(
                 timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
@@ -43,28 +48,30 @@
             for _ in self.addresses
         ]
         try:
-            await asyncio.gather(*(self._call_on() for _ in range(count)))
+            await asyncio.gather(
+                *(self._call_repeatedly() for _ in range(count))
+            )
         finally:
             for session in self.sessions:
                 await session.close()
 
-    async def _call_on(self) -> None:
+    async def _call_repeatedly(self) -> None:
         while not self.stopped:
             await self._call()
-            await asyncio.sleep(self.rng.expovariate(1 / PAUSE_SECONDS))
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_PAUSE_SECONDS))
 
     async def _call(self) -> None:
         gateway = self.rng.randrange(len(self.addresses))
-        kind = self.rng.choice([*Kind])
+        kind = self.rng.choice([*RouteKind])
         call = Call(
-            id=f"{self.seed}-{next(self.numbers)}",
+            id=f"{self.seed}-{next(self.call_numbers)}",
             kind=kind,
             gateway=gateway,
             sent_at=time.monotonic(),
-            patience=PATIENCE_SECONDS,
+            deadline_seconds=DEADLINE_SECONDS,
         )
-        if kind is Kind.KEYED:
-            call.key = key(self.rng.randrange(KEYS))
+        if kind is RouteKind.KEYED:
+            call.key = api_key(self.rng.randrange(KEY_COUNT))
         self.record.calls.append(call)
         try:
             await self._send(call)
@@ -76,7 +83,7 @@
         headers = {
             "Host": "shop.example",
             "Request-Id": call.id,
-            "Request-Deadline-Ms": str(int(call.patience * 1000)),
+            "Request-Deadline-Ms": str(int(call.deadline_seconds * 1000)),
         }
         if call.key:
             headers["Api-Key"] = call.key
@@ -85,9 +92,9 @@
         async with session.post(url, headers=headers, data=b"?") as response:
             call.status = response.status
             call.retry_after = response.headers.get("Retry-After", "")
-            if call.kind in STREAMS and call.status == 200:
+            if call.kind in STREAM_KINDS and call.status == 200:
                 async for data in response.content.iter_any():
                     call.body += data.decode()
             else:
                 call.body = (await response.read()).decode()
-            call.is_whole = True
+            call.is_complete = True
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,262 +1,315 @@
-"""The promises, checked on a record. Each returns what broke them."""
+"""Checks of the fleet's guarantees against the record of a run.
+
+Each check yields one line for each violation.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from soak.record import MAY_REPEAT, Call, Record, whole_body
+from soak.record import (
+    REPEATABLE_KINDS,
+    Call,
+    Record,
+    expected_body,
+)
 
 Check = Callable[[Record], Iterator[str]]
 CHECKS: dict[str, Check] = {}
 
-REVOKE_SECONDS = 5.0
-"""A key that was taken away is refused everywhere after so long."""
-LEAVE_SECONDS = 2.0
-"""A leaving endpoint gets nothing new after so long."""
-CONFIG_SECONDS = 2.0
-"""A control host that reads back at all reads back what was acknowledged."""
-RECOVER_SECONDS = 12.0
-"""After the last fault, callers are served again."""
-LATE_SECONDS = 0.7
-"""An answer is final so long after the caller's patience, host awake."""
-CONTACT_SECONDS = 3.0
-"""So long before a moment nothing must have disturbed a host that is held
-to a promise with a time bound."""
-NOT_RUN = (408, 421, 429, 503)
+REVOCATION_SECONDS = 5.0
+"""A revoked key must be refused by every gateway within this time."""
+DRAIN_NOTICE_SECONDS = 2.0
+"""A draining endpoint must get no new requests after this time."""
+CONFIG_PROPAGATION_SECONDS = 2.0
+"""A control host that responds must return an acknowledged configuration
+within this time."""
+RECOVERY_SECONDS = 12.0
+"""Callers must be served again within this time after the last fault."""
+DEADLINE_TOLERANCE_SECONDS = 0.7
+"""How long after its deadline a response may still end."""
+UNDISTURBED_SECONDS = 3.0
+"""A guarantee with a time bound holds for a process only if no fault affected
+it for this long beforehand."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 GRACE_SECONDS = 8.0
-SERVED_SHARE = 0.9
+MIN_SERVED_SHARE = 0.9
 
 
 def check(function: Check) -> Check:
-    """Registers a check under its name."""
+    """Registers a check under the name of its function."""
     CHECKS[function.__name__] = function
     return function
 
 
 def violations(record: Record) -> list[str]:
-    """Returns everything that broke a promise."""
+    """Returns all violations, each prefixed with the name of its check."""
     return [
-        f"{name}: {what}"
+        f"{name}: {violation}"
         for name, function in CHECKS.items()
-        for what in function(record)
+        for violation in function(record)
     ]
 
 
 def disturbed(
     record: Record, since: float, until: float, *targets: tuple[str, int]
 ) -> bool:
-    """Whether a fault touched any of the targets between two moments."""
+    """Whether a fault affected any of the targets between two times."""
     return any(
         (span.target, span.number) in targets
-        and span.since <= until
-        and span.until >= since
-        for span in record.spans
+        and span.started_at <= until
+        and span.ended_at >= since
+        for span in record.fault_spans
     )
 
 
-def all_of(record: Record, *names: str) -> list[tuple[str, int]]:
-    """Returns all targets of these kinds that a fault ever struck."""
-    found = {(s.target, s.number) for s in record.spans if s.target in names}
+def faulted_targets(record: Record, *names: str) -> list[tuple[str, int]]:
+    """Returns all targets of these kinds that any fault affected."""
+    found = {
+        (s.target, s.number) for s in record.fault_spans if s.target in names
+    }
     return sorted(found)
 
 
 @check
-def whole_answers(record: Record) -> Iterator[str]:
-    """A success that looks complete is the request's own, in full."""
+def complete_responses(record: Record) -> Iterator[str]:
+    """A response with status 200 is the expected one, or a prefix of it."""
     for call in record.calls:
         if call.status != 200:
             continue
-        right = whole_body(call.id, call.kind)
-        if call.is_whole and call.body != right:
-            yield f"{call.id} ({call.kind.value}) got another or a cut body"
-        elif not call.is_whole and not right.startswith(call.body):
-            yield f"{call.id} ({call.kind.value}) began with foreign bytes"
+        expected = expected_body(call.id, call.kind)
+        if call.is_complete and call.body != expected:
+            yield f"{call.id} ({call.kind.value}) got a wrong or truncated body"
+        elif not call.is_complete and not expected.startswith(call.body):
+            yield f"{call.id} ({call.kind.value}) began with unexpected bytes"
 
 
 @check
 def at_most_once(record: Record) -> Iterator[str]:
-    """What must not repeat runs once at the most."""
-    runs = defaultdict(int)
-    for run in record.runs:
-        runs[run.id] += 1
+    """A request that must not be repeated runs at most once."""
+    attempts = defaultdict(int)
+    for attempt in record.attempts:
+        attempts[attempt.id] += 1
     for call in record.calls:
-        if call.kind not in MAY_REPEAT and runs[call.id] > 1:
-            yield f"{call.id} ({call.kind.value}) ran {runs[call.id]} times"
+        if call.kind not in REPEATABLE_KINDS and attempts[call.id] > 1:
+            yield f"{call.id} ({call.kind.value}) ran {attempts[call.id]} times"
 
 
 @check
 def attempts_are_bounded(record: Record) -> Iterator[str]:
-    """A repeatable request reaches two endpoints at the most."""
-    runs = defaultdict(int)
-    for run in record.runs:
-        runs[run.id] += 1
+    """A repeatable request is attempted at most twice."""
+    attempts = defaultdict(int)
+    for attempt in record.attempts:
+        attempts[attempt.id] += 1
     for call in record.calls:
-        if runs[call.id] > 2:
-            yield f"{call.id} ran {runs[call.id]} times, 2 attempts allowed"
+        if attempts[call.id] > 2:
+            yield f"{call.id} ran {attempts[call.id]} times, limit is 2"
 
 
 @check
-def not_run_is_true(record: Record) -> Iterator[str]:
-    """A request that was told "not run" never ran."""
-    ran = {run.id for run in record.runs}
+def not_run_means_not_executed(record: Record) -> Iterator[str]:
+    """A request with a "not run" status never reached an endpoint."""
+    ran = {attempt.id for attempt in record.attempts}
     for call in record.calls:
-        told = call.status in NOT_RUN and call.kind not in MAY_REPEAT
-        if told and call.id in ran:
-            yield f"{call.id} was told {call.status} and ran"
+        is_reported_not_run = (
+            call.status in NOT_RUN_STATUSES
+            and call.kind not in REPEATABLE_KINDS
+        )
+        if is_reported_not_run and call.id in ran:
+            yield f"{call.id} got {call.status} although it ran"
 
 
 @check
-def refusals_say_when(record: Record) -> Iterator[str]:
-    """A refusal that means "come back" says when."""
+def refusals_have_retry_after(record: Record) -> Iterator[str]:
+    """Responses 429 and 503 have a Retry-After header."""
     for call in record.calls:
         if call.status in (429, 503) and not call.retry_after:
             yield f"{call.id} got {call.status} without Retry-After"
 
 
 @check
-def only_proper_statuses(record: Record) -> Iterator[str]:
-    """Proper requests are never called unknown, forbidden or malformed."""
-    lost = {key for order in record.orders for key in order.lost_keys}
+def no_unexpected_client_errors(record: Record) -> Iterator[str]:
+    """Valid requests get no 4xx status but the "not run" ones.
+
+    Status 401 is expected for a key that was revoked.
+    """
+    revoked = {
+        key for change in record.config_changes for key in change.revoked_keys
+    }
     for call in record.calls:
-        wrong = 400 <= call.status < 500 and call.status not in NOT_RUN
-        if wrong and not (call.status == 401 and call.key in lost):
+        is_unexpected = (
+            400 <= call.status < 500 and call.status not in NOT_RUN_STATUSES
+        )
+        if is_unexpected and not (call.status == 401 and call.key in revoked):
             yield f"{call.id} ({call.kind.value}) got {call.status}"
 
 
 @check
-def keys_are_revoked(record: Record) -> Iterator[str]:
-    """A key that was taken away opens nothing, wherever it is tried."""
-    lost_at = {
-        key: order.acked_at
-        for order in record.orders
-        for key in order.lost_keys
+def revoked_keys_are_refused(record: Record) -> Iterator[str]:
+    """No request runs with a key that was revoked."""
+    revoked_at = {
+        key: change.acknowledged_at
+        for change in record.config_changes
+        for key in change.revoked_keys
     }
-    ran = {run.id for run in record.runs}
+    ran = {attempt.id for attempt in record.attempts}
     for call in record.calls:
-        at = lost_at.get(call.key)
+        at = revoked_at.get(call.key)
         if at is None or call.id not in ran:
             continue
-        if call.sent_at > at + REVOKE_SECONDS:
+        if call.sent_at > at + REVOCATION_SECONDS:
             yield (
-                f"{call.id} ran with a key that was taken away "
+                f"{call.id} ran with a key that was revoked "
                 f"{call.sent_at - at:.1f} s before"
             )
 
 
 @check
-def keys_stay_here(record: Record) -> Iterator[str]:
-    """No endpoint sees a caller's key."""
-    for run in record.runs:
-        if run.key_sent:
-            yield f"{run.id} brought its key to {run.endpoint}"
+def api_keys_are_not_forwarded(record: Record) -> Iterator[str]:
+    """Gateways do not forward API keys to endpoints."""
+    for attempt in record.attempts:
+        if attempt.key_sent:
+            yield f"{attempt.id} forwarded its key to {attempt.endpoint}"
 
 
 @check
-def the_leaving_get_nothing_new(record: Record) -> Iterator[str]:
-    """An endpoint that leaves gets no new work after some seconds."""
-    left = {leave.endpoint: leave.acked_at for leave in record.leaves}
+def draining_endpoints_get_no_new_requests(record: Record) -> Iterator[str]:
+    """A draining endpoint gets no new requests."""
+    draining_since = {
+        departure.endpoint: departure.acknowledged_at
+        for departure in record.departures
+    }
     by_id = {call.id: call for call in record.calls}
-    control = all_of(record, "control")
-    for run in record.runs:
-        at = left.get(run.endpoint)
-        call = by_id.get(run.id)
-        if at is None or call is None or run.at <= at + LEAVE_SECONDS:
+    control = faulted_targets(record, "control")
+    for attempt in record.attempts:
+        at = draining_since.get(attempt.endpoint)
+        call = by_id.get(attempt.id)
+        if (
+            at is None
+            or call is None
+            or attempt.started_at <= at + DRAIN_NOTICE_SECONDS
+        ):
             continue
-        mine = ("gateway", call.gateway)
-        since = at - CONTACT_SECONDS
-        if not disturbed(record, since, run.at, mine, *control):
-            yield f"{run.id} reached {run.endpoint} {run.at - at:.1f} s late"
+        gateway = ("gateway", call.gateway)
+        since = at - UNDISTURBED_SECONDS
+        if not disturbed(record, since, attempt.started_at, gateway, *control):
+            yield (
+                f"{attempt.id} reached {attempt.endpoint} "
+                f"{attempt.started_at - at:.1f} s after it began to drain"
+            )
 
 
 @check
-def nothing_reverts(record: Record) -> Iterator[str]:
-    """No control host reads back less than was acknowledged."""
-    for read in record.reads:
-        for order in record.orders:
-            due = order.acked_at + CONFIG_SECONDS
-            if read.version < order.version and read.sent_at > due:
+def config_never_reverts(record: Record) -> Iterator[str]:
+    """No control host returns a version older than an acknowledged one."""
+    for read in record.config_reads:
+        for change in record.config_changes:
+            due = change.acknowledged_at + CONFIG_PROPAGATION_SECONDS
+            if read.version < change.version and read.sent_at > due:
                 yield (
-                    f"control {read.host} gave {read.version} "
-                    f"{read.sent_at - order.acked_at:.1f} s after "
-                    f"{order.version} was acknowledged"
+                    f"control {read.host} returned {read.version} "
+                    f"{read.sent_at - change.acknowledged_at:.1f} s after "
+                    f"{change.version} was acknowledged"
                 )
 
 
 @check
-def the_last_is_kept(record: Record) -> Iterator[str]:
-    """What was acknowledged is in force at the end."""
-    newest = max((order.version for order in record.orders), default=0)
+def last_config_is_kept(record: Record) -> Iterator[str]:
+    """The newest acknowledged configuration is in force at the end."""
+    newest = max(
+        (change.version for change in record.config_changes), default=0
+    )
     if record.final_version < newest:
-        yield f"version {record.final_version} at the end, {newest} was acked"
+        yield (
+            f"version {record.final_version} at the end, "
+            f"{newest} was acknowledged"
+        )
 
 
 @check
-def answers_are_final_in_time(record: Record) -> Iterator[str]:
-    """No caller waits past its patience for the final word."""
+def responses_meet_deadlines(record: Record) -> Iterator[str]:
+    """Every response ends by its deadline, within the tolerance.
+
+    Calls during a fault of their gateway are ignored, and so are those during
+    a stall of the soak process itself.
+    """
     for call in record.calls:
-        over = call.ended_at - call.sent_at - call.patience
-        since = call.sent_at - CONTACT_SECONDS
-        ours = (("gateway", call.gateway), ("soak", 0))
-        if over > LATE_SECONDS and not disturbed(
-            record, since, call.ended_at, *ours
+        late_seconds = call.ended_at - call.sent_at - call.deadline_seconds
+        since = call.sent_at - UNDISTURBED_SECONDS
+        targets = (("gateway", call.gateway), ("soak", 0))
+        if late_seconds > DEADLINE_TOLERANCE_SECONDS and not disturbed(
+            record, since, call.ended_at, *targets
         ):
-            yield f"{call.id} ended {over:.2f} s late: {call.status}"
+            yield f"{call.id} ended {late_seconds:.2f} s late: {call.status}"
 
 
 @check
-def shutdown_cuts_nothing(record: Record) -> Iterator[str]:
-    """A gateway that is told to stop answers what it has read.
+def shutdown_truncates_nothing(record: Record) -> Iterator[str]:
+    """A gateway that gets SIGTERM completes the requests it has accepted.
 
-    Streams are cut where their endpoint is struck as well.
+    Gateways under another fault are ignored, and so are calls during a fault
+    of an endpoint.
     """
-    for stop in record.stops:
-        if stop.target != "gateway":
+    for shutdown in record.shutdowns:
+        if shutdown.target != "gateway":
             continue
-        mine = ("gateway", stop.number)
-        others = [
+        gateway = ("gateway", shutdown.number)
+        other_faults = [
             span
-            for span in record.spans
-            if (span.target, span.number) == mine
+            for span in record.fault_spans
+            if (span.target, span.number) == gateway
             and span.kind != "stop"
-            and span.since <= stop.ended_at
-            and span.until >= stop.at - CONTACT_SECONDS
+            and span.started_at <= shutdown.ended_at
+            and span.ended_at >= shutdown.signalled_at - UNDISTURBED_SECONDS
         ]
-        if others:
+        if other_faults:
             continue
-        if stop.code != 0:
-            yield f"gateway {stop.number} ended with {stop.code}"
-        if stop.ended_at - stop.at > GRACE_SECONDS:
-            yield f"gateway {stop.number} took {stop.ended_at - stop.at:.1f} s"
+        if shutdown.exit_code != 0:
+            yield f"gateway {shutdown.number} exited with {shutdown.exit_code}"
+        if shutdown.ended_at - shutdown.signalled_at > GRACE_SECONDS:
+            yield (
+                f"gateway {shutdown.number} took "
+                f"{shutdown.ended_at - shutdown.signalled_at:.1f} s to exit"
+            )
         for call in record.calls:
-            if _was_cut(record, call, stop):
-                yield f"{call.id} was cut by the stop of gateway {stop.number}"
+            if _was_truncated(record, call, shutdown):
+                yield (
+                    f"{call.id} was truncated by the shutdown of "
+                    f"gateway {shutdown.number}"
+                )
 
 
-def _was_cut(record: Record, call: Call, stop) -> bool:
-    if call.gateway != stop.number or call.is_whole:
+def _was_truncated(record: Record, call: Call, shutdown) -> bool:
+    if call.gateway != shutdown.number or call.is_complete:
         return False
-    if not stop.at - call.patience < call.sent_at < stop.ended_at:
+    if (
+        not shutdown.signalled_at - call.deadline_seconds
+        < call.sent_at
+        < shutdown.ended_at
+    ):
         return False
-    if call.ended_at < stop.at:
+    if call.ended_at < shutdown.signalled_at:
         return False
-    ran = any(run.id == call.id for run in record.runs)
-    endpoints = all_of(record, "endpoint")
-    since = call.sent_at - CONTACT_SECONDS
-    struck = disturbed(record, since, call.ended_at, *endpoints)
-    return ran and not struck
+    ran = any(attempt.id == call.id for attempt in record.attempts)
+    endpoints = faulted_targets(record, "endpoint")
+    since = call.sent_at - UNDISTURBED_SECONDS
+    endpoint_faulted = disturbed(record, since, call.ended_at, *endpoints)
+    return ran and not endpoint_faulted
 
 
 @check
-def service_returns(record: Record) -> Iterator[str]:
-    """Once all faults are over, callers are served again."""
-    due = record.healed_at + RECOVER_SECONDS
-    lost = {key for order in record.orders for key in order.lost_keys}
-    late = [
+def service_recovers(record: Record) -> Iterator[str]:
+    """Callers are served again after the last fault."""
+    due = record.faults_ended_at + RECOVERY_SECONDS
+    revoked = {
+        key for change in record.config_changes for key in change.revoked_keys
+    }
+    calls = [
         call
         for call in record.calls
-        if call.sent_at > due and call.key not in lost
+        if call.sent_at > due and call.key not in revoked
     ]
-    served = [call for call in late if call.is_whole and call.status == 200]
-    if not late:
+    served = [call for call in calls if call.is_complete and call.status == 200]
+    if not calls:
         yield "no request was sent after the recovery"
-    elif len(served) < SERVED_SHARE * len(late):
-        yield f"only {len(served)} of {len(late)} served after the recovery"
+    elif len(served) < MIN_SERVED_SHARE * len(calls):
+        yield f"only {len(served)} of {len(calls)} served after the recovery"
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that note what reaches them, and can crash or leave."""
+"""Endpoints that record the requests they get, and can crash or drain."""
 
 import asyncio
 import itertools
@@ -9,37 +9,47 @@
 from aiohttp import web
 
 from marjoramyard.standin.processes import free_address
-from soak.record import EVENTS_MOST, Kind, Leave, Run, event, whole_body
+from soak.record import (
+    MAX_EVENTS,
+    Attempt,
+    Departure,
+    RouteKind,
+    event_text,
+    expected_body,
+)
 
 HEARTBEAT_SECONDS = 0.4
-WORK_SECONDS = 0.04
-"""Mean time of a plain answer, and between events of a stream."""
-STAY_SECONDS = 3.0
-"""How long a leaving endpoint goes on serving after it was acknowledged."""
+MEAN_WORK_SECONDS = 0.04
+"""Mean time to a plain response, and between the events of a stream."""
+DRAIN_SECONDS = 3.0
+"""How long an endpoint goes on serving once its draining is acknowledged."""
 
 
 class Endpoint:
-    """One place behind a relay; its process comes and goes."""
+    """An endpoint behind a relay, with one incarnation at a time.
 
-    def __init__(self, number: int, record, operators: list[str], rng):
+    Each incarnation has a name and a registration of its own.
+    """
+
+    def __init__(self, number: int, record, operator_addresses: list[str], rng):
         self.number = number
         self.record = record
-        self.operators = operators
+        self.operator_addresses = operator_addresses
         self.rng: random.Random = rng
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         self.name = ""
         self.state = "ready"
-        self.born = 0
+        self.started_at_ms = 0
         self.sequence = itertools.count(1)
         self.listen = free_address()
         self.address = ""
         self.runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Begins a new lifetime."""
-        self.name = f"i-{self.number}-{next(self.lives)}"
+        """Starts a new incarnation."""
+        self.name = f"i-{self.number}-{next(self.incarnations)}"
         self.state = "ready"
-        self.born = time.time_ns() // 1_000_000
+        self.started_at_ms = time.time_ns() // 1_000_000
         self.sequence = itertools.count(1)
         app = web.Application()
         name = self.name
@@ -57,7 +67,7 @@
         await site.start()
 
     async def stop(self) -> None:
-        """Ends as a crash does: connections break, nobody is told."""
+        """Stops like a crash: aborts all connections and sends no update."""
         runner, self.runner = self.runner, None
         if runner is not None:
             for connection in list(runner.server.connections):
@@ -68,33 +78,33 @@
     async def _handle(self, request: web.Request, name: str):
         call_id = request.headers["Request-Id"]
         after = int(request.headers.get("Last-Event-Id") or 0)
-        self.record.runs.append(
-            Run(
+        self.record.attempts.append(
+            Attempt(
                 id=call_id,
                 endpoint=name,
-                at=time.monotonic(),
+                started_at=time.monotonic(),
                 key_sent="Api-Key" in request.headers,
                 after_event=after,
             )
         )
         headers = {"Request-Id": call_id, "Answer-Signature": f"by {name}"}
-        kind = Kind(request.match_info["kind"])
-        if kind in (Kind.STREAM, Kind.RESUMED):
+        kind = RouteKind(request.match_info["kind"])
+        if kind in (RouteKind.STREAM, RouteKind.RESUMABLE_STREAM):
             return await self._stream(request, call_id, after, headers)
-        await asyncio.sleep(self.rng.expovariate(1 / WORK_SECONDS))
-        return web.Response(text=whole_body(call_id, kind), headers=headers)
+        await asyncio.sleep(self.rng.expovariate(1 / MEAN_WORK_SECONDS))
+        return web.Response(text=expected_body(call_id, kind), headers=headers)
 
     async def _stream(self, request, call_id, after, headers):
         response = web.StreamResponse(headers=headers)
         response.content_type = "text/event-stream"
         response.enable_chunked_encoding()
         await response.prepare(request)
-        whole = whole_body(call_id, Kind.STREAM)
-        for number in range(after + 1, EVENTS_MOST + 2):
-            text = event(call_id, number)
-            if text not in whole:
+        expected = expected_body(call_id, RouteKind.STREAM)
+        for number in range(after + 1, MAX_EVENTS + 2):
+            text = event_text(call_id, number)
+            if text not in expected:
                 break
-            await asyncio.sleep(self.rng.expovariate(1 / WORK_SECONDS))
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_WORK_SECONDS))
             half = len(text) // 2
             await response.write(text[:half].encode())
             await response.write(text[half:].encode())
@@ -103,39 +113,47 @@
 
     # Registration.
 
-    async def beat_forever(self, session: aiohttp.ClientSession) -> None:
-        """Announces itself as long as it runs."""
+    async def send_heartbeats(self, session: aiohttp.ClientSession) -> None:
+        """Sends heartbeats while the endpoint runs, until cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_SECONDS)
             if self.runner is not None:
-                await self.tell(session)
+                await self.send_registration(session)
+
+    async def send_registration(self, session: aiohttp.ClientSession) -> bool:
+        """Sends a heartbeat to a random control host.
 
-    async def tell(self, session: aiohttp.ClientSession) -> bool:
-        """Sends one heartbeat to any control host; True if it was taken."""
-        word = {
+        Returns:
+            Whether the control host accepted it.
+        """
+        registration = {
             "endpoint": self.name,
             "service": "api",
             "address": self.address,
             "state": self.state,
             "sequence": next(self.sequence),
-            "born": self.born,
+            "born": self.started_at_ms,
         }
-        url = f"http://{self.rng.choice(self.operators)}/registrations/"
+        url = (
+            f"http://{self.rng.choice(self.operator_addresses)}/registrations/"
+        )
         try:
-            async with session.put(url + self.name, json=word) as response:
+            async with session.put(
+                url + self.name, json=registration
+            ) as response:
                 return response.status == 200
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
     async def leave(self, session: aiohttp.ClientSession) -> None:
-        """Says that it leaves, serves a little longer, goes, comes anew."""
+        """Announces draining, keeps serving for a while, then restarts."""
         name = self.name
         self.state = "draining"
-        while not await self.tell(session):
+        while not await self.send_registration(session):
             await asyncio.sleep(HEARTBEAT_SECONDS)
-        self.record.leaves.append(
-            Leave(endpoint=name, acked_at=time.monotonic())
+        self.record.departures.append(
+            Departure(endpoint=name, acknowledged_at=time.monotonic())
         )
-        await asyncio.sleep(STAY_SECONDS)
+        await asyncio.sleep(DRAIN_SECONDS)
         await self.stop()
         await self.start()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan, each kind by its own function."""
+"""Injects the faults of a plan into a running fleet."""
 
 import asyncio
 import time
@@ -9,130 +9,136 @@
 from marjoramyard.fleet.util.rpc import InternalClient
 from marjoramyard.standin.relay import Relay
 from soak.fleet import Node, SoakFleet
-from soak.host_faults import Wrong
+from soak.host_faults import HostFaults
 from soak.plan import Fault, FaultKind, Target
 
-DELAY_SECONDS = 0.15
-SLOW_SYNC_SECONDS = 0.2
+LINK_DELAY_SECONDS = 0.15
+DISK_DELAY_SECONDS = 0.2
 CLOCK_STEP_SECONDS = 3600.0
-STORM_CHANGES = 6
-STORM_GAP_SECONDS = 0.08
-STATUS_SECONDS = 0.5
+BURST_CHANGES = 6
+BURST_INTERVAL_SECONDS = 0.08
+STATUS_TIMEOUT_SECONDS = 0.5
 
 
-class Injector:
-    """Knows all that can be struck."""
+class FaultInjector:
+    """Injects faults into control hosts, gateways, endpoints and links."""
 
-    def __init__(self, fleet: SoakFleet, endpoints, operator, beats):
+    def __init__(
+        self, fleet: SoakFleet, endpoints, operator, heartbeat_session
+    ):
         self.fleet = fleet
         self.endpoints = endpoints
-        self.endpoint_links: list[Relay] = []
+        self.endpoint_relays: list[Relay] = []
         self.operator = operator
-        self.beats = beats
+        self.heartbeat_session = heartbeat_session
         self.client: InternalClient | None = None
         self.skipped: list[Fault] = []
         self.endpoint_locks = [asyncio.Lock() for _ in endpoints]
 
-    async def carry_out(self, fault: Fault) -> None:
-        """Runs one fault to its end and notes when it was there.
+    async def inject(self, fault: Fault) -> None:
+        """Injects a fault, waits until it is over and records its span.
 
-        A silent connection stays silent until who holds it gives it up, so
-        the end of that fault is left open: callers' own connections to a
-        gateway may be among them, and nothing can answer on those.
+        The span of stalled connections to a gateway has no end: a stalled
+        connection stays so until it is closed, and callers may hold some.
         """
         if fault.target is Target.OPERATOR:
-            await OPERATOR[fault.kind](self)
+            await OPERATOR_ACTIONS[fault.kind](self)
             return
-        if fault.kind is FaultKind.SPLIT:
-            await self._split(fault)
+        if fault.kind is FaultKind.ISOLATE_CONTROL_HOSTS:
+            await self._isolate_control_hosts(fault)
             return
-        span = self.fleet.span(
+        span = self.fleet.begin_fault(
             fault.target.value, fault.kind.value, fault.number
         )
         try:
-            await self._strike(fault)
+            await self._apply(fault)
         finally:
-            stays_silent = fault.kind is FaultKind.SILENCE
-            if not (stays_silent and fault.target is Target.GATEWAY):
-                span.until = time.monotonic()
+            stays_stalled = fault.kind is FaultKind.STALL_CONNECTIONS
+            if not (stays_stalled and fault.target is Target.GATEWAY):
+                span.ended_at = time.monotonic()
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _apply(self, fault: Fault) -> None:
         if fault.target is Target.ENDPOINT:
-            await self._strike_endpoint(fault)
+            await self._apply_to_endpoint(fault)
             return
         node = self.fleet.nodes(fault.target.value)[fault.number]
-        if fault.kind in LINK:
-            await LINK[fault.kind](self._links(node), fault.seconds)
+        if fault.kind in LINK_ACTIONS:
+            await LINK_ACTIONS[fault.kind](self._links(node), fault.seconds)
             return
-        if fault.kind in DISK:
-            await self._misbehave(node, DISK[fault.kind], fault.seconds)
+        if fault.kind in HOST_FAULTS:
+            await self._set_host_faults(
+                node, HOST_FAULTS[fault.kind], fault.seconds
+            )
             return
         async with node.lock:
-            if fault.kind is FaultKind.WIPE and not await self._is_whole():
+            if (
+                fault.kind is FaultKind.LOSE_DISK
+                and not await self._replicas_are_in_sync()
+            ):
                 self.skipped.append(fault)
                 return
-            await PROCESS[fault.kind](self.fleet, node, fault.seconds)
+            await PROCESS_ACTIONS[fault.kind](self.fleet, node, fault.seconds)
 
     def _links(self, node: Node) -> list[Relay]:
         links = [node.relay]
         if node.target == "gateway":
-            links.append(self.fleet.callers_links[node.number])
+            links.append(self.fleet.caller_relays[node.number])
         return links
 
-    async def _strike_endpoint(self, fault: Fault) -> None:
-        if fault.kind in LINK:
-            link = self.endpoint_links[fault.number]
-            await LINK[fault.kind]([link], fault.seconds)
+    async def _apply_to_endpoint(self, fault: Fault) -> None:
+        if fault.kind in LINK_ACTIONS:
+            link = self.endpoint_relays[fault.number]
+            await LINK_ACTIONS[fault.kind]([link], fault.seconds)
             return
         endpoint = self.endpoints[fault.number]
         async with self.endpoint_locks[fault.number]:
             if fault.kind is FaultKind.LEAVE:
-                await endpoint.leave(self.beats)
+                await endpoint.leave(self.heartbeat_session)
                 return
             await endpoint.stop()
             await asyncio.sleep(fault.seconds)
             await endpoint.start()
 
-    async def _misbehave(
-        self, node: Node, wrong: Wrong, seconds: float
+    async def _set_host_faults(
+        self, node: Node, faults: HostFaults, seconds: float
     ) -> None:
-        self.fleet.misbehave(node, wrong)
+        self.fleet.set_host_faults(node, faults)
         await asyncio.sleep(seconds)
-        self.fleet.misbehave(node, Wrong())
+        self.fleet.set_host_faults(node, HostFaults())
 
-    async def _split(self, fault: Fault) -> None:
-        """No control host hears another; gateways hear none of them."""
+    async def _isolate_control_hosts(self, fault: Fault) -> None:
+        """Partitions the control hosts from each other and from gateways."""
         nodes = self.fleet.controls
         spans = [
-            self.fleet.span("control", fault.kind.value, node.number)
+            self.fleet.begin_fault("control", fault.kind.value, node.number)
             for node in nodes
         ]
-        await cut([node.relay for node in nodes], fault.seconds)
+        await partition([node.relay for node in nodes], fault.seconds)
         for span in spans:
-            span.until = time.monotonic()
+            span.ended_at = time.monotonic()
 
-    async def _is_whole(self) -> bool:
-        """Whether all copies are there, so that one disk may be lost.
+    async def _replicas_are_in_sync(self) -> bool:
+        """Whether all replicas are voters and have the same, committed log.
 
-        Losing a second disk before the first one's copy has been made anew
-        is more than the fleet is built to bear.
+        Only then may a disk be lost: with a second loss before the first
+        replica is restored, acknowledged changes may be gone.
         """
         nodes = self.fleet.controls
-        told = await asyncio.gather(
+        replies = await asyncio.gather(
             *(
                 self.client.call(
                     node.relay.address,
                     paths.STATUS_PATH,
                     Empty(),
                     HostStatus,
-                    STATUS_SECONDS,
+                    STATUS_TIMEOUT_SECONDS,
                 )
                 for node in nodes
             )
         )
-        if not all(one.is_ok() for one in told):
+        if not all(one.is_ok() for one in replies):
             return False
-        hosts: list[HostStatus] = [one.ok_value for one in told]
+        hosts: list[HostStatus] = [one.ok_value for one in replies]
         replicas = {host.replica for host in hosts}
         return all(
             set(host.membership.voters) == replicas
@@ -142,22 +148,22 @@
 
 
 async def delay(links: list[Relay], seconds: float) -> None:
-    """Passes everything on later."""
+    """Adds latency to the links."""
     for link in links:
-        link.delay_seconds = DELAY_SECONDS
+        link.delay_seconds = LINK_DELAY_SECONDS
     await asyncio.sleep(seconds)
     for link in links:
         link.delay_seconds = 0.0
 
 
 async def reset(links: list[Relay], _: float) -> None:
-    """Breaks all connections."""
+    """Aborts all open connections."""
     for link in links:
         link.break_connections()
 
 
-async def cut(links: list[Relay], seconds: float) -> None:
-    """Lets nothing through in either direction, and tells nobody."""
+async def partition(links: list[Relay], seconds: float) -> None:
+    """Drops all traffic in both directions without closing connections."""
     for link in links:
         link.partition()
     await asyncio.sleep(seconds)
@@ -165,8 +171,8 @@
         link.heal()
 
 
-async def cut_replies(links: list[Relay], seconds: float) -> None:
-    """Lets requests through and holds what comes back."""
+async def hold_replies(links: list[Relay], seconds: float) -> None:
+    """Forwards requests and holds back the replies."""
     for link in links:
         link.replies_allowed.clear()
     await asyncio.sleep(seconds)
@@ -174,49 +180,51 @@
         link.replies_allowed.set()
 
 
-async def silence(links: list[Relay], _: float) -> None:
-    """Open connections fall silent for good; new ones work."""
+async def stall_connections(links: list[Relay], _: float) -> None:
+    """Stalls all open connections for good; new ones work."""
     for link in links:
         link.stall_connections()
 
 
-LINK: dict[FaultKind, Callable[[list[Relay], float], Awaitable[None]]] = {
+LINK_ACTIONS: dict[
+    FaultKind, Callable[[list[Relay], float], Awaitable[None]]
+] = {
     FaultKind.DELAY: delay,
     FaultKind.RESET: reset,
-    FaultKind.CUT: cut,
-    FaultKind.CUT_REPLIES: cut_replies,
-    FaultKind.SILENCE: silence,
+    FaultKind.PARTITION: partition,
+    FaultKind.HOLD_REPLIES: hold_replies,
+    FaultKind.STALL_CONNECTIONS: stall_connections,
 }
-PROCESS = {
+PROCESS_ACTIONS = {
     FaultKind.KILL: SoakFleet.kill,
-    FaultKind.PAUSE: SoakFleet.pause,
-    FaultKind.STOP: SoakFleet.stop,
-    FaultKind.WIPE: SoakFleet.wipe,
+    FaultKind.SUSPEND: SoakFleet.suspend,
+    FaultKind.TERMINATE: SoakFleet.terminate,
+    FaultKind.LOSE_DISK: SoakFleet.lose_disk,
 }
-DISK = {
-    FaultKind.SLOW_DISK: Wrong(sync_seconds=SLOW_SYNC_SECONDS),
-    FaultKind.FULL_DISK: Wrong(is_full=True),
-    FaultKind.CLOCK_STEP: Wrong(clock_seconds=CLOCK_STEP_SECONDS),
+HOST_FAULTS = {
+    FaultKind.SLOW_DISK: HostFaults(write_delay_seconds=DISK_DELAY_SECONDS),
+    FaultKind.FULL_DISK: HostFaults(is_full=True),
+    FaultKind.CLOCK_STEP: HostFaults(clock_offset_seconds=CLOCK_STEP_SECONDS),
 }
 
 
-async def _change(injector: Injector) -> None:
+async def _change(injector: FaultInjector) -> None:
     await injector.operator.change()
 
 
-async def _revoke(injector: Injector) -> None:
+async def _revoke_key(injector: FaultInjector) -> None:
     await injector.operator.revoke()
 
 
-async def _storm(injector: Injector) -> None:
+async def _change_in_burst(injector: FaultInjector) -> None:
     async with asyncio.TaskGroup() as tasks:
-        for _ in range(STORM_CHANGES):
+        for _ in range(BURST_CHANGES):
             tasks.create_task(injector.operator.change())
-            await asyncio.sleep(STORM_GAP_SECONDS)
+            await asyncio.sleep(BURST_INTERVAL_SECONDS)
 
 
-OPERATOR = {
+OPERATOR_ACTIONS = {
     FaultKind.CONFIG: _change,
-    FaultKind.REVOKE: _revoke,
-    FaultKind.STORM: _storm,
+    FaultKind.REVOKE_KEY: _revoke_key,
+    FaultKind.CONFIG_BURST: _change_in_burst,
 }
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs as separate processes, behind relays."""
+"""A fleet of separate processes whose links run through relays."""
 
 import asyncio
 import shutil
@@ -14,8 +14,8 @@
 from marjoramyard.standin.processes import ChildProcess, free_address
 from marjoramyard.standin.relay import Relay, relay_to
 from soak import host_faults
-from soak.plan import Size
-from soak.record import Record, Span, Stop
+from soak.plan import FleetSize
+from soak.record import FaultSpan, Record, Shutdown
 
 TESTS = Path(__file__).parents[1]
 GRACE_SECONDS = 8.0
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """One process of the fleet and the link that leads to it."""
+    """A process of the fleet and the relay to its internal address."""
 
     def __init__(
         self, target: str, number: int, child: ChildProcess, relay: Relay
@@ -37,9 +37,9 @@
 
 
 class SoakFleet:
-    """Control hosts and gateways; see `soak_fleet`."""
+    """Control hosts and gateways, to be created with `soak_fleet`."""
 
-    def __init__(self, folder: Path, size: Size, record: Record):
+    def __init__(self, folder: Path, size: FleetSize, record: Record):
         self.folder = folder
         self.size = size
         self.record = record
@@ -48,16 +48,16 @@
         self.peer_port = _port(free_address())
         operator_port = _port(free_address())
         hosts = [f"127.0.0.{2 + n}" for n in range(size.controls)]
-        self.operators = [f"{host}:{operator_port}" for host in hosts]
-        self.callers_links: list[Relay] = []
+        self.operator_addresses = [f"{host}:{operator_port}" for host in hosts]
+        self.caller_relays: list[Relay] = []
 
     def nodes(self, target: str) -> list[Node]:
-        """Returns all processes of a role."""
+        """Returns the nodes of a role, "control" or "gateway"."""
         return self.controls if target == "control" else self.gateways
 
     async def build(self, stack: AsyncExitStack) -> None:
-        """Writes settings and opens relays; starts nothing."""
-        for number, operator in enumerate(self.operators):
+        """Writes the settings and opens the relays, but starts no process."""
+        for number, operator in enumerate(self.operator_addresses):
             await self._add_control(stack, number, operator)
         for number in range(self.size.gateways):
             await self._add_gateway(stack, number)
@@ -90,7 +90,7 @@
         internal, listen = free_address(), free_address()
         relay = await stack.enter_async_context(relay_to(internal))
         callers = await stack.enter_async_context(relay_to(listen))
-        self.callers_links.append(callers)
+        self.caller_relays.append(callers)
         name = f"gateway-{number}"
         node = Node("gateway", number, self._child(name), relay)
         self.gateways.append(node)
@@ -114,7 +114,7 @@
         settings |= {
             "name": name,
             "zone": f"zone-{name[-1]}",
-            "seeds": self.operators[:3],
+            "seeds": self.operator_addresses[:3],
             "peer_port": self.peer_port,
             "trust_network": True,
             "log": {"format": "json"},
@@ -122,8 +122,8 @@
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
 
-    def founded(self) -> None:
-        """Says in the settings that later starts are not the first."""
+    def mark_bootstrapped(self) -> None:
+        """Marks in the settings that the cluster has been bootstrapped."""
         for node in self.controls:
             path = self.folder / f"{node.child.name}.yaml"
             settings = yaml.safe_load(path.read_text())
@@ -131,73 +131,78 @@
             path.write_text(yaml.safe_dump(settings))
 
     async def start(self) -> None:
-        """Starts all processes at once."""
+        """Starts all processes concurrently."""
         nodes = [*self.controls, *self.gateways]
         await asyncio.gather(*(node.child.start() for node in nodes))
 
     async def close(self) -> None:
-        """Ends what was started, by its own ids."""
+        """Kills all processes that are still running."""
         for node in [*self.controls, *self.gateways]:
             if node.child.is_running:
                 node.child.resume()
                 await node.child.kill()
 
-    # What can happen to a process.
+    # Faults of processes.
 
     async def kill(self, node: Node, seconds: float) -> None:
-        """Kills a process and starts it again."""
+        """Kills a process and restarts it after `seconds`."""
         if not node.child.is_running:
             return
         await node.child.kill()
         await asyncio.sleep(seconds)
         await node.child.start()
 
-    async def pause(self, node: Node, seconds: float) -> None:
-        """Lets a process stand still for a while."""
+    async def suspend(self, node: Node, seconds: float) -> None:
+        """Suspends a process for `seconds`."""
         node.child.suspend()
         await asyncio.sleep(seconds)
         node.child.resume()
 
-    async def stop(self, node: Node, seconds: float) -> None:
-        """Stops a process as the platform does, and starts it again."""
+    async def terminate(self, node: Node, seconds: float) -> None:
+        """Sends SIGTERM to a process and restarts it after `seconds`.
+
+        A process that outlives its grace period is killed.
+        """
         if not node.child.is_running:
             return
-        at = time.monotonic()
+        signalled_at = time.monotonic()
         try:
             limit = GRACE_SECONDS + KILL_MARGIN_SECONDS
             code = await node.child.terminate(limit)
         except TimeoutError:
             await node.child.kill()
             code = -signal.SIGKILL
-        self.record.stops.append(
-            Stop(
+        self.record.shutdowns.append(
+            Shutdown(
                 target=node.target,
                 number=node.number,
-                at=at,
+                signalled_at=signalled_at,
                 ended_at=time.monotonic(),
-                code=code,
+                exit_code=code,
             )
         )
         await asyncio.sleep(seconds)
         await node.child.start()
 
-    async def wipe(self, node: Node, seconds: float) -> None:
-        """Loses a host with its disk; it comes back empty."""
+    async def lose_disk(self, node: Node, seconds: float) -> None:
+        """Kills a control host, deletes its data and restarts it."""
         await node.child.kill()
         shutil.rmtree(node.data_folder, ignore_errors=True)
         await asyncio.sleep(seconds)
         await node.child.start()
 
-    def misbehave(self, node: Node, wrong: host_faults.Wrong) -> None:
-        """Says what is wrong with a host's disk and clock from now on."""
-        host_faults.write(node.data_folder, wrong)
+    def set_host_faults(
+        self, node: Node, faults: host_faults.HostFaults
+    ) -> None:
+        """Sets the faults of a control host's disk and clock."""
+        host_faults.write(node.data_folder, faults)
 
-    def span(self, target: str, kind: str, number: int) -> Span:
-        """Notes that a fault begins."""
-        span = Span(
-            target=target, kind=kind, number=number, since=time.monotonic()
+    def begin_fault(self, target: str, kind: str, number: int) -> FaultSpan:
+        """Records the start of a fault and returns its span."""
+        span = FaultSpan(
+            target=target, kind=kind, number=number, started_at=time.monotonic()
         )
-        self.record.spans.append(span)
+        self.record.fault_spans.append(span)
         return span
 
 
@@ -207,9 +212,9 @@
 
 @asynccontextmanager
 async def soak_fleet(
-    folder: Path, size: Size, record: Record
+    folder: Path, size: FleetSize, record: Record
 ) -> AsyncIterator[SoakFleet]:
-    """Owns the processes and relays of one run."""
+    """Runs the processes and relays of a fleet."""
     folder.mkdir(parents=True, exist_ok=True)
     fleet = SoakFleet(folder, size, record)
     async with AsyncExitStack() as stack:
--- a/tests/soak/host_faults.py
+++ b/tests/soak/host_faults.py
@@ -1,8 +1,7 @@
-"""Loaded into control hosts by their settings: a bad disk, a wrong clock.
+"""Extension for control hosts that injects disk and clock faults.
 
-The soak writes what is wrong into a file beside the data folder; the host
-looks at it at each write. So its disk and its time of day go wrong from
-outside, at any moment, and the code under test stays as it is.
+The soak test writes the current faults into a file beside the data folder.
+The control host reads it at each write and each reading of the clock.
 """
 
 import errno
@@ -14,59 +13,59 @@
 from marjoramyard.fleet.control import storage
 
 
-class Wrong(msgspec.Struct):
-    """What is wrong now.
+class HostFaults(msgspec.Struct):
+    """The current faults of a control host.
 
     Attributes:
-        sync_seconds: How much longer each write takes.
-        is_full: Each write is refused.
-        clock_seconds: How far the time of day is off.
+        write_delay_seconds: Delay added to each write.
+        is_full: Whether each write fails with ENOSPC.
+        clock_offset_seconds: Offset added to the time of day.
     """
 
-    sync_seconds: float = 0.0
+    write_delay_seconds: float = 0.0
     is_full: bool = False
-    clock_seconds: float = 0.0
+    clock_offset_seconds: float = 0.0
 
 
 def path_of(data_folder: Path) -> Path:
-    """Returns the file that says what is wrong."""
-    return data_folder.with_suffix(".wrong.json")
+    """Returns the file with the faults of a control host."""
+    return data_folder.with_suffix(".faults.json")
 
 
-def write(data_folder: Path, wrong: Wrong) -> None:
-    """Says what is wrong from now on."""
-    path_of(data_folder).write_bytes(msgspec.json.encode(wrong))
+def write(data_folder: Path, faults: HostFaults) -> None:
+    """Replaces the faults of a control host."""
+    path_of(data_folder).write_bytes(msgspec.json.encode(faults))
 
 
-def read(path: Path) -> Wrong:
-    """Reads what is wrong; nothing while the file is being written."""
+def read(path: Path) -> HostFaults:
+    """Returns the current faults; none if the file cannot be read."""
     try:
-        return msgspec.json.decode(path.read_bytes(), type=Wrong)
+        return msgspec.json.decode(path.read_bytes(), type=HostFaults)
     except (OSError, msgspec.DecodeError):
-        return Wrong()
+        return HostFaults()
 
 
 def setup(app) -> None:
-    """Puts the faults between the control host and its folder and clock."""
+    """Patches the storage and the clock of the control host."""
     path = path_of(Path(app.settings.data_folder))
-    write_batch = storage.Storage.write
-    write_file = storage.write_synced
+    append = storage.Storage.write
+    replace_file = storage.write_synced
     time_of_day = time.time
 
-    def suffer() -> None:
-        wrong = read(path)
-        time.sleep(wrong.sync_seconds)
-        if wrong.is_full:
+    def apply_faults() -> None:
+        faults = read(path)
+        time.sleep(faults.write_delay_seconds)
+        if faults.is_full:
             raise OSError(errno.ENOSPC, "no space left (soak)")
 
-    def slow_write(self, *args) -> None:
-        suffer()
-        write_batch(self, *args)
+    def faulty_append(self, *args) -> None:
+        apply_faults()
+        append(self, *args)
 
-    def slow_file(*args) -> None:
-        suffer()
-        write_file(*args)
+    def faulty_replace_file(*args) -> None:
+        apply_faults()
+        replace_file(*args)
 
-    storage.Storage.write = slow_write
-    storage.write_synced = slow_file
-    time.time = lambda: time_of_day() + read(path).clock_seconds
+    storage.Storage.write = faulty_append
+    storage.write_synced = faulty_replace_file
+    time.time = lambda: time_of_day() + read(path).clock_offset_seconds
--- a/tests/soak/operator.py
+++ b/tests/soak/operator.py
@@ -1,4 +1,4 @@
-"""An operator who changes the configuration and reads it back."""
+"""An operator that changes the configuration and reads it back."""
 
 import asyncio
 import random
@@ -6,38 +6,38 @@
 
 import aiohttp
 
-from soak.callers import KEYS, key
-from soak.record import Kind, Order, Read, Record
+from soak.callers import KEY_COUNT, api_key
+from soak.record import ConfigChange, ConfigRead, Record, RouteKind
 
-TRY_SECONDS = 3.0
-READ_SECONDS = 1.2
-READ_PAUSE_SECONDS = 0.4
-RETRY_PAUSE_SECONDS = 0.2
+PUT_TIMEOUT_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 1.2
+READ_INTERVAL_SECONDS = 0.4
+RETRY_INTERVAL_SECONDS = 0.2
 
 REQUEST_KINDS = {
-    Kind.PLAIN: "idempotent",
-    Kind.ONCE: "non_idempotent",
-    Kind.STREAM: "stream",
-    Kind.RESUMED: "stream",
-    Kind.KEYED: "idempotent",
+    RouteKind.PLAIN: "idempotent",
+    RouteKind.NON_IDEMPOTENT: "non_idempotent",
+    RouteKind.STREAM: "stream",
+    RouteKind.RESUMABLE_STREAM: "stream",
+    RouteKind.KEYED: "idempotent",
 }
 
 
 class Operator:
-    """Sends one version after another, several at once in a storm."""
+    """Sends configurations with increasing versions."""
 
     def __init__(self, record: Record, hosts: list[str], seed: int):
         self.record = record
         self.hosts = hosts
         self.rng = random.Random(seed + 2)
         self.version = 0
-        self.lost: list[str] = []
+        self.revoked: list[str] = []
         self.stopped = False
-        timeout = aiohttp.ClientTimeout(total=TRY_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=PUT_TIMEOUT_SECONDS)
         self.session = aiohttp.ClientSession(timeout=timeout)
 
     def config(self) -> dict:
-        """Returns the configuration as it should be now."""
+        """Returns the configuration of the current version."""
         routes = [
             {
                 "name": kind.value,
@@ -48,12 +48,16 @@
                 "objective_ms": 500,
                 "service": "api",
                 "max_attempts": 2,
-                "open_access": kind is not Kind.KEYED,
-                "resumable": kind is Kind.RESUMED,
+                "open_access": kind is not RouteKind.KEYED,
+                "resumable": kind is RouteKind.RESUMABLE_STREAM,
             }
-            for kind in Kind
+            for kind in RouteKind
+        ]
+        keys = [
+            api_key(n)
+            for n in range(KEY_COUNT)
+            if api_key(n) not in self.revoked
         ]
-        keys = [key(n) for n in range(KEYS) if key(n) not in self.lost]
         return {
             "version": self.version,
             "routes": routes,
@@ -61,30 +65,34 @@
             "workspaces": [{"name": "shop", "api_keys": keys}],
         }
 
-    async def change(self, lost_key: str = "") -> None:
-        """Puts a new version in force; sends it until that is clear."""
+    async def change(self, revoked_key: str = "") -> None:
+        """Sends a new version until it is acknowledged or the run ends."""
         self.version += self.rng.choice((1, 1, 3))
-        lost = [lost_key] if lost_key else []
-        self.lost += lost
-        text = self.config()
+        revoked = [revoked_key] if revoked_key else []
+        self.revoked += revoked
+        config = self.config()
         version = self.version
-        order = Order(
+        change = ConfigChange(
             version=version,
             sent_at=time.monotonic(),
-            acked_at=0.0,
-            lost_keys=lost,
+            acknowledged_at=0.0,
+            revoked_keys=revoked,
         )
-        while not await self._put(text):
+        while not await self._put(config):
             if self.stopped:
-                self.record.unclear.append(version)
+                self.record.unacknowledged.append(version)
                 return
-            await asyncio.sleep(RETRY_PAUSE_SECONDS)
-        order.acked_at = time.monotonic()
-        self.record.orders.append(order)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+        change.acknowledged_at = time.monotonic()
+        self.record.config_changes.append(change)
 
     async def revoke(self) -> None:
-        """Takes a key away; the last two stay."""
-        left = [key(n) for n in range(KEYS) if key(n) not in self.lost]
+        """Revokes an API key unless only two are left."""
+        left = [
+            api_key(n)
+            for n in range(KEY_COUNT)
+            if api_key(n) not in self.revoked
+        ]
         if len(left) > 2:
             await self.change(left[0])
 
@@ -97,24 +105,28 @@
             return False
 
     async def read(self, host: int) -> int | None:
-        """Reads the version back from one host; None without an answer."""
+        """Reads the version in force from a control host.
+
+        Returns:
+            The version; None if the host did not return one in time.
+        """
         sent_at = time.monotonic()
         url = f"http://{self.hosts[host]}/fleet-config"
         try:
-            async with asyncio.timeout(READ_SECONDS):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 async with self.session.get(url) as response:
                     if response.status != 200:
                         return None
                     version = (await response.json())["version"]
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
-        self.record.reads.append(
-            Read(host=host, version=version, sent_at=sent_at)
+        self.record.config_reads.append(
+            ConfigRead(host=host, version=version, sent_at=sent_at)
         )
         return version
 
-    async def read_forever(self) -> None:
-        """Reads back from any host, over and over."""
+    async def read_repeatedly(self) -> None:
+        """Reads the version from random hosts until `stopped` is set."""
         while not self.stopped:
             await self.read(self.rng.randrange(len(self.hosts)))
-            await asyncio.sleep(READ_PAUSE_SECONDS)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,21 +1,21 @@
-"""Draws which faults strike when, from a seed alone."""
+"""Generates fault plans that depend only on the seed and the fleet's size."""
 
 import random
 from enum import Enum
 
 import msgspec
 
-LEAD_SECONDS = 3.0
-"""Calm at the start, so that a fault meets a fleet that serves."""
-GAP_SECONDS = 0.7
-"""Mean pause between faults. Most last for seconds, so several overlap."""
-DISK_GAP_SECONDS = 9.0
-"""Between two lost disks: a new voter is caught up in some 4 s and an
-election in between takes 2.4 s. Two at once are more than is promised."""
+WARMUP_SECONDS = 3.0
+"""Time without faults at the start of a run."""
+MEAN_FAULT_INTERVAL_SECONDS = 0.7
+"""Mean interval between faults, short enough that several overlap."""
+DISK_LOSS_INTERVAL_SECONDS = 9.0
+"""Minimum interval between two disk losses, which covers an election and the
+restoring of the lost replica."""
 
 
 class Target(Enum):
-    """What a fault strikes."""
+    """What a fault affects."""
 
     CONTROL = "control"
     GATEWAY = "gateway"
@@ -24,52 +24,56 @@
 
 
 class FaultKind(Enum):
-    """What happens, seen from outside the process."""
+    """Kinds of faults and, for the operator, of configuration changes."""
 
     KILL = "kill"
-    PAUSE = "pause"
-    STOP = "stop"
-    WIPE = "wipe"
+    SUSPEND = "pause"
+    TERMINATE = "stop"
+    LOSE_DISK = "wipe"
     DELAY = "delay"
     RESET = "reset"
-    CUT = "cut"
-    CUT_REPLIES = "cut-replies"
-    SILENCE = "silence"
+    PARTITION = "cut"
+    HOLD_REPLIES = "cut-replies"
+    STALL_CONNECTIONS = "silence"
     CRASH = "crash"
     LEAVE = "leave"
     SLOW_DISK = "slow-disk"
     FULL_DISK = "full-disk"
     CLOCK_STEP = "clock-step"
     CONFIG = "config"
-    STORM = "storm"
-    REVOKE = "revoke"
-    SPLIT = "split"
+    CONFIG_BURST = "storm"
+    REVOKE_KEY = "revoke"
+    ISOLATE_CONTROL_HOSTS = "split"
 
 
 LINK_FAULTS = (
     FaultKind.DELAY,
     FaultKind.RESET,
-    FaultKind.CUT,
-    FaultKind.CUT_REPLIES,
-    FaultKind.SILENCE,
+    FaultKind.PARTITION,
+    FaultKind.HOLD_REPLIES,
+    FaultKind.STALL_CONNECTIONS,
 )
-PROCESS_FAULTS = (FaultKind.KILL, FaultKind.PAUSE, FaultKind.STOP)
+PROCESS_FAULTS = (FaultKind.KILL, FaultKind.SUSPEND, FaultKind.TERMINATE)
 CONTROL_FAULTS = (
     *PROCESS_FAULTS,
     *LINK_FAULTS,
-    FaultKind.WIPE,
+    FaultKind.LOSE_DISK,
     FaultKind.SLOW_DISK,
     FaultKind.FULL_DISK,
     FaultKind.CLOCK_STEP,
-    FaultKind.SPLIT,
+    FaultKind.ISOLATE_CONTROL_HOSTS,
 )
-CHOICES: dict[Target, tuple[FaultKind, ...]] = {
+FAULTS_BY_TARGET: dict[Target, tuple[FaultKind, ...]] = {
     Target.CONTROL: CONTROL_FAULTS,
     Target.GATEWAY: (*PROCESS_FAULTS, *LINK_FAULTS),
     Target.ENDPOINT: (*LINK_FAULTS, FaultKind.CRASH, FaultKind.LEAVE),
-    Target.OPERATOR: (FaultKind.CONFIG, FaultKind.STORM, FaultKind.REVOKE),
+    Target.OPERATOR: (
+        FaultKind.CONFIG,
+        FaultKind.CONFIG_BURST,
+        FaultKind.REVOKE_KEY,
+    ),
 }
-WEIGHTS = {
+TARGET_WEIGHTS = {
     Target.CONTROL: 4,
     Target.GATEWAY: 3,
     Target.ENDPOINT: 3,
@@ -77,8 +81,8 @@
 }
 
 
-class Size(msgspec.Struct, frozen=True):
-    """How many of each there are."""
+class FleetSize(msgspec.Struct, frozen=True):
+    """Number of processes and callers of each role."""
 
     controls: int = 3
     gateways: int = 3
@@ -87,12 +91,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault.
+    """A planned fault.
 
     Attributes:
-        at: Seconds from the start of traffic.
-        seconds: How long it lasts.
-        number: Which of its targets, from 0.
+        at: Start, in seconds after the start of the plan.
+        number: Index of the target, from 0.
+        seconds: Duration.
     """
 
     at: float
@@ -102,8 +106,11 @@
     seconds: float
 
 
-def make_plan(seed: int, seconds: float, size: Size) -> list[Fault]:
-    """Draws the faults of a run; the same ones for the same arguments."""
+def make_plan(seed: int, seconds: float, size: FleetSize) -> list[Fault]:
+    """Returns the faults of a run in the order of their start.
+
+    Equal arguments give equal plans.
+    """
     rng = random.Random(seed)
     counts = {
         Target.CONTROL: size.controls,
@@ -112,20 +119,20 @@
         Target.OPERATOR: 1,
     }
     faults: list[Fault] = []
-    at = LEAD_SECONDS
-    disk_free_at = 0.0
+    at = WARMUP_SECONDS
+    next_disk_loss_at = 0.0
     while at < seconds:
-        target = rng.choices([*WEIGHTS], [*WEIGHTS.values()])[0]
-        kind = rng.choice(CHOICES[target])
-        length = rng.choice((0.3, 1.0, 2.0, 4.0))
-        # A series strikes the same kind of thing several times in a row.
+        target = rng.choices([*TARGET_WEIGHTS], [*TARGET_WEIGHTS.values()])[0]
+        kind = rng.choice(FAULTS_BY_TARGET[target])
+        duration = rng.choice((0.3, 1.0, 2.0, 4.0))
+        # A series repeats the same kind of fault in quick succession.
         for _ in range(rng.choice((1, 1, 1, 3))):
-            if kind is FaultKind.WIPE:
-                if at < disk_free_at:
+            if kind is FaultKind.LOSE_DISK:
+                if at < next_disk_loss_at:
                     break
-                disk_free_at = at + length + DISK_GAP_SECONDS
+                next_disk_loss_at = at + duration + DISK_LOSS_INTERVAL_SECONDS
             number = rng.randrange(counts[target])
-            faults.append(Fault(at, target, kind, number, length))
+            faults.append(Fault(at, target, kind, number, duration))
             at += rng.choice((0.05, 0.3))
-        at += rng.expovariate(1 / GAP_SECONDS)
+        at += rng.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)
     return faults
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,42 +1,49 @@
-"""What callers, endpoints and the operator saw during a run."""
+"""Record of what callers, endpoints and the operator observed in a run.
+
+All times are in seconds of the monotonic clock.
+"""
 
 from enum import Enum
 
 import msgspec
 
 
-class Kind(Enum):
-    """The routes that are called."""
+class RouteKind(Enum):
+    """Kinds of routes; each value is the name of the route."""
 
     PLAIN = "plain"
-    ONCE = "once"
+    NON_IDEMPOTENT = "once"
     STREAM = "stream"
-    RESUMED = "resumed"
+    RESUMABLE_STREAM = "resumed"
     KEYED = "keyed"
 
 
-MAY_REPEAT = (Kind.PLAIN, Kind.KEYED, Kind.RESUMED)
-STREAMS = (Kind.STREAM, Kind.RESUMED)
+REPEATABLE_KINDS = (
+    RouteKind.PLAIN,
+    RouteKind.KEYED,
+    RouteKind.RESUMABLE_STREAM,
+)
+STREAM_KINDS = (RouteKind.STREAM, RouteKind.RESUMABLE_STREAM)
 
 
 class Call(msgspec.Struct, kw_only=True):
-    """One attempt of a caller; times are seconds of one clock.
+    """A request of a caller and its response.
 
     Attributes:
-        status: 0 if no head of an answer came.
-        is_whole: The answer ended as complete.
-        body: What came of it.
-        error: What ended it instead.
+        status: HTTP status; 0 if no response began.
+        is_complete: Whether the response ended without an error.
+        body: The part of the body that was received.
+        error: The error that ended the call; empty if there was none.
     """
 
     id: str
-    kind: Kind
+    kind: RouteKind
     gateway: int
     sent_at: float
-    patience: float
+    deadline_seconds: float
     key: str = ""
     status: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
     body: str = ""
     ended_at: float = 0.0
     retry_after: str = ""
@@ -44,98 +51,107 @@
     reused: bool = False
 
 
-class Run(msgspec.Struct, kw_only=True):
-    """One run of a request at an endpoint."""
+class Attempt(msgspec.Struct, kw_only=True):
+    """An attempt of a request at an endpoint.
+
+    Attributes:
+        id: The id of the request.
+        key_sent: Whether the endpoint got the caller's API key.
+        after_event: The last event the gateway had; 0 for a new stream.
+    """
 
     id: str
     endpoint: str
-    at: float
+    started_at: float
     key_sent: bool = False
     after_event: int = 0
 
 
-class Order(msgspec.Struct, kw_only=True):
-    """A configuration that was acknowledged."""
+class ConfigChange(msgspec.Struct, kw_only=True):
+    """A configuration change that was acknowledged."""
 
     version: int
     sent_at: float
-    acked_at: float
-    lost_keys: list[str] = []
+    acknowledged_at: float
+    revoked_keys: list[str] = []
 
 
-class Read(msgspec.Struct, kw_only=True):
-    """A configuration that a control host gave."""
+class ConfigRead(msgspec.Struct, kw_only=True):
+    """A version of the configuration that a control host returned."""
 
     host: int
     version: int
     sent_at: float
 
 
-class Leave(msgspec.Struct, kw_only=True):
-    """An endpoint whose leaving was acknowledged."""
+class Departure(msgspec.Struct, kw_only=True):
+    """An endpoint whose draining was acknowledged."""
 
     endpoint: str
-    acked_at: float
+    acknowledged_at: float
 
 
-class Span(msgspec.Struct, kw_only=True):
-    """A fault as it was carried out."""
+class FaultSpan(msgspec.Struct, kw_only=True):
+    """The time during which a fault was present."""
 
     target: str
     kind: str
     number: int
-    since: float
-    until: float = float("inf")
+    started_at: float
+    ended_at: float = float("inf")
 
 
-class Stop(msgspec.Struct, kw_only=True):
-    """A process that was told to stop."""
+class Shutdown(msgspec.Struct, kw_only=True):
+    """A process that got SIGTERM, and how it exited."""
 
     target: str
     number: int
-    at: float
+    signalled_at: float
     ended_at: float
-    code: int
+    exit_code: int
 
 
 class Record(msgspec.Struct):
-    """All that was seen.
+    """Everything observed in a run.
 
     Attributes:
-        healed_at: From then on nothing was disturbed.
+        unacknowledged: Versions that were sent but never acknowledged.
+        faults_ended_at: When the last fault of the plan was over.
         ended_at: The end of the run.
+        final_version: The version in force at the end; 0 if not readable.
     """
 
     calls: list[Call] = []
-    runs: list[Run] = []
-    orders: list[Order] = []
-    unclear: list[int] = []
-    reads: list[Read] = []
-    leaves: list[Leave] = []
-    spans: list[Span] = []
-    stops: list[Stop] = []
-    healed_at: float = 0.0
+    attempts: list[Attempt] = []
+    config_changes: list[ConfigChange] = []
+    unacknowledged: list[int] = []
+    config_reads: list[ConfigRead] = []
+    departures: list[Departure] = []
+    fault_spans: list[FaultSpan] = []
+    shutdowns: list[Shutdown] = []
+    faults_ended_at: float = 0.0
     ended_at: float = 0.0
     final_version: int = 0
 
 
-EVENTS_MOST = 12
+MAX_EVENTS = 12
 
 
-def events_of(call_id: str) -> int:
-    """Returns how many events the stream of a request has."""
-    return 2 + sum(call_id.encode()) % (EVENTS_MOST - 1)
+def event_count(call_id: str) -> int:
+    """Returns the number of events in the stream of a request."""
+    return 2 + sum(call_id.encode()) % (MAX_EVENTS - 1)
 
 
-def event(call_id: str, number: int) -> str:
+def event_text(call_id: str, number: int) -> str:
     """Returns one event of a request's stream, numbered from 1."""
     return f"id: {number}\ndata: {call_id} {number}\n\n"
 
 
-def whole_body(call_id: str, kind: Kind) -> str:
-    """Returns the one right answer of a request."""
-    if kind not in STREAMS:
+def expected_body(call_id: str, kind: RouteKind) -> str:
+    """Returns the complete response body of a request."""
+    if kind not in STREAM_KINDS:
         return f"answer of {call_id} " + "x" * (sum(call_id.encode()) % 3000)
     return "".join(
-        event(call_id, number) for number in range(1, events_of(call_id) + 1)
+        event_text(call_id, number)
+        for number in range(1, event_count(call_id) + 1)
     )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a fleet, its callers, and a plan of faults."""
+"""One soak run: a fleet, its callers, and a plan of faults."""
 
 import asyncio
 import random
@@ -14,44 +14,44 @@
 from marjoramyard.standin.relay import relay_to
 from soak.callers import Callers
 from soak.endpoints import Endpoint
-from soak.faults import Injector
+from soak.faults import FaultInjector
 from soak.fleet import SoakFleet, soak_fleet
 from soak.operator import Operator
-from soak.plan import Fault, Size, make_plan
-from soak.record import Record, Span
-
-START_SECONDS = 40.0
-RECOVER_SECONDS = 12.0
-AFTER_SECONDS = 3.0
-"""How long callers go on after the recovery, for something to judge by."""
-FINAL_READ_SECONDS = 12.0
-LAG_STEP_SECONDS = 0.05
-LAG_SECONDS = 0.3
-"""If our own loop stands still for so long, its clock says nothing about
-what the fleet did meanwhile."""
-
-
-async def soak(
-    seed: int, seconds: float, folder: Path, size: Size | None = None
+from soak.plan import Fault, FleetSize, make_plan
+from soak.record import FaultSpan, Record
+
+START_TIMEOUT_SECONDS = 40.0
+RECOVERY_SECONDS = 12.0
+OBSERVATION_SECONDS = 3.0
+"""How long callers go on after the recovery time, for `service_recovers`."""
+FINAL_READ_TIMEOUT_SECONDS = 12.0
+LAG_CHECK_INTERVAL_SECONDS = 0.05
+LAG_THRESHOLD_SECONDS = 0.3
+"""A longer stall of this process's event loop is recorded as a fault, for
+times measured during it are unreliable."""
+
+
+async def run_seed(
+    seed: int, seconds: float, folder: Path, size: FleetSize | None = None
 ) -> Record:
-    """Plays a seed and returns what was seen."""
-    size = size or Size()
+    """Runs the plan of a seed and returns the record."""
+    size = size or FleetSize()
     record = Record()
     async with AsyncExitStack() as stack:
         fleet = await stack.enter_async_context(
             soak_fleet(folder, size, record)
         )
-        operator = Operator(record, fleet.operators, seed)
+        operator = Operator(record, fleet.operator_addresses, seed)
         stack.push_async_callback(operator.session.close)
         timeout = aiohttp.ClientTimeout(total=1.0)
-        beats = aiohttp.ClientSession(timeout=timeout)
-        stack.push_async_callback(beats.close)
+        heartbeat_session = aiohttp.ClientSession(timeout=timeout)
+        stack.push_async_callback(heartbeat_session.close)
         rng = random.Random(seed + 3)
         endpoints = [
-            Endpoint(number, record, fleet.operators, rng)
+            Endpoint(number, record, fleet.operator_addresses, rng)
             for number in range(size.endpoints)
         ]
-        injector = Injector(fleet, endpoints, operator, beats)
+        injector = FaultInjector(fleet, endpoints, operator, heartbeat_session)
         metrics = Metrics("soak", "soak")
         stack.callback(metrics.close)
         injector.client = InternalClient("", metrics)
@@ -59,26 +59,26 @@
         for endpoint in endpoints:
             link = await stack.enter_async_context(relay_to(endpoint.listen))
             endpoint.address = link.address
-            injector.endpoint_links.append(link)
+            injector.endpoint_relays.append(link)
             await endpoint.start()
             stack.push_async_callback(endpoint.stop)
         async with asyncio.TaskGroup() as tasks:
             background = [
-                tasks.create_task(endpoint.beat_forever(beats))
+                tasks.create_task(endpoint.send_heartbeats(heartbeat_session))
                 for endpoint in endpoints
             ]
-            background.append(tasks.create_task(_watch_lag(record)))
-            await _found(fleet, operator, beats)
-            background.append(tasks.create_task(operator.read_forever()))
+            background.append(tasks.create_task(_record_loop_lag(record)))
+            await _bootstrap(fleet, operator, heartbeat_session)
+            background.append(tasks.create_task(operator.read_repeatedly()))
             callers = Callers(
-                record, [link.address for link in fleet.callers_links], seed
+                record, [link.address for link in fleet.caller_relays], seed
             )
             calling = tasks.create_task(callers.run(size.callers))
             plan = make_plan(seed, seconds, size)
-            await _play(plan, injector)
-            record.healed_at = time.monotonic()
-            await asyncio.sleep(RECOVER_SECONDS + AFTER_SECONDS)
-            record.final_version = await _final(operator)
+            await _run_plan(plan, injector)
+            record.faults_ended_at = time.monotonic()
+            await asyncio.sleep(RECOVERY_SECONDS + OBSERVATION_SECONDS)
+            record.final_version = await _read_final_version(operator)
             callers.stopped = operator.stopped = True
             await calling
             for task in background:
@@ -87,13 +87,13 @@
     return record
 
 
-async def _found(fleet: SoakFleet, operator: Operator, session) -> None:
-    """Waits until the fleet serves its first configuration."""
+async def _bootstrap(fleet: SoakFleet, operator: Operator, session) -> None:
+    """Sends the first configuration and waits until all gateways serve it."""
     await operator.change()
-    fleet.founded()
+    fleet.mark_bootstrapped()
 
-    async def serves() -> bool:
-        for link in fleet.callers_links:
+    async def all_gateways_serve() -> bool:
+        for link in fleet.caller_relays:
             headers = {"Host": "shop.example", "Request-Id": "probe"}
             url = f"http://{link.address}/plain/x"
             async with session.get(url, headers=headers) as response:
@@ -101,28 +101,28 @@
                     return False
         return True
 
-    async def does() -> bool:
+    async def is_serving() -> bool:
         with suppress(aiohttp.ClientError, OSError, TimeoutError):
-            return await serves()
+            return await all_gateways_serve()
         return False
 
-    await wait_until(does, "the fleet to serve", START_SECONDS)
+    await wait_until(is_serving, "the fleet to serve", START_TIMEOUT_SECONDS)
 
 
-async def _play(plan: list[Fault], injector: Injector) -> None:
-    """Carries out a plan; faults overlap as their times say."""
-    began = time.monotonic()
+async def _run_plan(plan: list[Fault], injector: FaultInjector) -> None:
+    """Injects the faults of a plan at their times; they may overlap."""
+    started_at = time.monotonic()
     async with asyncio.TaskGroup() as tasks:
         for fault in plan:
-            wait = began + fault.at - time.monotonic()
+            wait = started_at + fault.at - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            tasks.create_task(injector.carry_out(fault))
+            tasks.create_task(injector.inject(fault))
 
 
-async def _final(operator: Operator) -> int:
-    """Reads the configuration back, from any host that gives it."""
-    end = time.monotonic() + FINAL_READ_SECONDS
+async def _read_final_version(operator: Operator) -> int:
+    """Returns the version from the first host that returns one, else 0."""
+    end = time.monotonic() + FINAL_READ_TIMEOUT_SECONDS
     while time.monotonic() < end:
         for host in range(len(operator.hosts)):
             version = await operator.read(host)
@@ -132,19 +132,19 @@
     return 0
 
 
-async def _watch_lag(record: Record) -> None:
-    """Notes when the soak itself stood still."""
+async def _record_loop_lag(record: Record) -> None:
+    """Records stalls of this process's own event loop."""
     while True:
         before = time.monotonic()
-        await asyncio.sleep(LAG_STEP_SECONDS)
+        await asyncio.sleep(LAG_CHECK_INTERVAL_SECONDS)
         now = time.monotonic()
-        if now - before > LAG_SECONDS:
-            record.spans.append(
-                Span(
+        if now - before > LAG_THRESHOLD_SECONDS:
+            record.fault_spans.append(
+                FaultSpan(
                     target="soak",
                     kind="lag",
                     number=0,
-                    since=before,
-                    until=now,
+                    started_at=before,
+                    ended_at=now,
                 )
             )
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -1,37 +1,48 @@
-"""A plan of faults depends on its arguments alone and keeps to its rules."""
+"""Fault plans are reproducible and keep to their rules."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from soak.plan import CHOICES, DISK_GAP_SECONDS, FaultKind, Size, make_plan
+from soak.plan import (
+    DISK_LOSS_INTERVAL_SECONDS,
+    FAULTS_BY_TARGET,
+    FaultKind,
+    FleetSize,
+    make_plan,
+)
 
 
 @given(st.integers(0, 10_000))
-def test_a_seed_always_gives_the_same_plan(seed):
-    assert make_plan(seed, 20.0, Size()) == make_plan(seed, 20.0, Size())
+def test_plans_are_reproducible(seed):
+    assert make_plan(seed, 20.0, FleetSize()) == make_plan(
+        seed, 20.0, FleetSize()
+    )
 
 
 @given(st.integers(0, 10_000))
-def test_faults_fit_their_targets(seed):
-    size = Size(controls=5, gateways=2, endpoints=3)
+def test_faults_match_their_targets(seed):
+    size = FleetSize(controls=5, gateways=2, endpoints=3)
     for fault in make_plan(seed, 20.0, size):
-        assert fault.kind in CHOICES[fault.target]
+        assert fault.kind in FAULTS_BY_TARGET[fault.target]
         assert fault.number < 5
 
 
 @given(st.integers(0, 10_000))
-def test_no_second_disk_is_lost_before_the_first_is_made_good(seed):
-    """An acknowledged change would be gone, and rightly so.
+def test_disk_losses_keep_their_minimum_interval(seed):
+    """A disk loss before the previous replica is restored may lose changes.
 
-    Its copies are on a majority of disks. A second disk lost before the
-    first one's copy has been made anew is more than the fleet must bear.
+    Acknowledged changes are stored only on a majority of the disks.
     """
-    plan = make_plan(seed, 60.0, Size())
-    wipes = [f for f in plan if f.kind is FaultKind.WIPE]
-    for first, second in zip(wipes, wipes[1:], strict=False):
-        assert second.at >= first.at + first.seconds + DISK_GAP_SECONDS
-
-
-def test_every_kind_of_fault_is_drawn():
-    seen = {f.kind for seed in range(40) for f in make_plan(seed, 30.0, Size())}
+    plan = make_plan(seed, 60.0, FleetSize())
+    losses = [f for f in plan if f.kind is FaultKind.LOSE_DISK]
+    for first, second in zip(losses, losses[1:], strict=False):
+        assert (
+            second.at >= first.at + first.seconds + DISK_LOSS_INTERVAL_SECONDS
+        )
+
+
+def test_all_fault_kinds_occur():
+    seen = {
+        f.kind for seed in range(40) for f in make_plan(seed, 30.0, FleetSize())
+    }
     assert seen == set(FaultKind)
