--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Hypothesis runs the same examples every time, without time limits."""
+"""Hypothesis profiles; examples are reproducible and have no deadline."""
 
 import os
 
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet, for the tests."""
+"""HTTP callers of a fleet for end-to-end tests."""
 
 import asyncio
 import contextlib
@@ -6,45 +6,52 @@
 
 import aiohttp
 
-OUTCOME = "X-Marjoramyard-Outcome"
+OUTCOME_HEADER = "X-Marjoramyard-Outcome"
 
 
 @dataclass
-class Answer:
-    """What a caller got."""
+class Response:
+    """The response that a caller received.
+
+    Attributes:
+        status: HTTP status; 0 if no response began.
+        text: The part of the body that was received.
+        is_truncated: Whether the connection failed before the end.
+    """
 
     status: int = 0
     headers: dict = field(default_factory=dict)
     text: str = ""
-    broken: bool = False
+    is_truncated: bool = False
 
     @property
     def outcome(self):
-        return self.headers.get(OUTCOME)
+        return self.headers.get(OUTCOME_HEADER)
 
     @property
-    def is_whole_stream(self):
-        return not self.broken and self.text.endswith("data: [DONE]\n\n")
+    def is_complete_stream(self):
+        return not self.is_truncated and self.text.endswith("data: [DONE]\n\n")
 
 
 async def call(fleet, method, path, entry="entry-1", workspace="counter", **kw):
-    """Sends one request and takes whatever comes back."""
+    """Sends a request and returns the response, also if it is truncated."""
     headers = fleet.headers(workspace, **kw.pop("headers", {}))
-    answer = Answer()
+    received = Response()
     try:
         async with fleet.session.request(
             method, fleet.url(entry, path), headers=headers, **kw
         ) as response:
-            answer.status = response.status
-            answer.headers = dict(response.headers)
+            received.status = response.status
+            received.headers = dict(response.headers)
             async for data in response.content.iter_any():
-                answer.text += data.decode()
+                received.text += data.decode()
     except (aiohttp.ClientError, OSError):
-        answer.broken = True
-    return answer
+        received.is_truncated = True
+    return received
 
 
 async def chat(fleet, entry="entry-1", workspace="counter", **body):
+    """Sends a chat completion request."""
     content = body.pop("content", "Which boots?")
     message = {"role": "user", "content": content}
     return await call(
@@ -58,7 +65,7 @@
 
 
 async def book(fleet, key, entry="entry-1", body=None, **headers):
-    """Books; a booking must land once."""
+    """Sends a booking with an idempotency key."""
     return await call(
         fleet,
         "POST",
@@ -71,7 +78,7 @@
 
 @contextlib.asynccontextmanager
 async def open_stream(fleet, entry="entry-1", workspace="counter", **body):
-    """Opens a stream and yields the response once the first token came."""
+    """Opens a stream and yields the response after the first event."""
     async with fleet.session.post(
         fleet.url(entry, "/v1/chat/completions"),
         headers=fleet.headers(workspace),
@@ -81,8 +88,8 @@
         yield response
 
 
-async def read_rest(response):
-    """Returns the rest of a stream, and whether it broke off."""
+async def read_to_end(response):
+    """Returns the rest of a stream and whether it was truncated."""
     text = ""
     try:
         async for data in response.content.iter_any():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests with separate processes."""
+"""Fixtures for tests that run a fleet of separate processes."""
 
 from pathlib import Path
 
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""A self-forming fleet of separate processes, with endpoints of the tests."""
+"""Control hosts and a gateway in separate processes, with fake endpoints."""
 
 import contextlib
 import itertools
@@ -12,12 +12,15 @@
 from marjoramyard.standin import local_fleet
 from marjoramyard.standin.processes import ChildProcess, free_address
 
-SECONDS = 30.0
-KEY = "key-of-shop-1234"
+TIMEOUT_SECONDS = 30.0
+API_KEY = "key-of-shop-1234"
 
 
-async def wait_until(check, seconds=SECONDS):
-    """Waits until an async check returns something true, and returns it."""
+async def wait_until(check, seconds=TIMEOUT_SECONDS):
+    """Waits until an async check returns a true value, and returns it.
+
+    Connection errors count as false.
+    """
 
     async def reached():
         with contextlib.suppress(aiohttp.ClientError, OSError):
@@ -28,38 +31,40 @@
 
 
 class FakeEndpoint:
-    """An endpoint whose answers the test decides.
+    """An endpoint whose responses are set by the test.
 
     Attributes:
-        seen: The requests that reached it, as (id, headers, body).
-        answer: An async function of the request; None for a plain answer.
+        requests: The requests received, as (id, headers, body).
+        respond: An async handler of requests; None for a default response.
     """
 
     def __init__(self, name, service="api"):
         self.name = name
         self.service = service
         self.address = free_address()
-        self.seen = []
-        self.answer = None
+        self.requests = []
+        self.respond = None
         self.sequence = itertools.count(1)
 
     async def handle(self, request):
         body = await request.read()
-        self.seen.append((request.headers["Request-Id"], request.headers, body))
-        if self.answer is not None:
-            return await self.answer(request)
+        self.requests.append(
+            (request.headers["Request-Id"], request.headers, body)
+        )
+        if self.respond is not None:
+            return await self.respond(request)
         return web.Response(
-            text=f"whole {body.decode()}", headers=self.signed(request)
+            text=f"echo {body.decode()}", headers=self.response_headers(request)
         )
 
-    def signed(self, request):
+    def response_headers(self, request):
         return {
             "Request-Id": request.headers["Request-Id"],
             "Answer-Signature": f"by {self.name}",
         }
 
     @contextlib.asynccontextmanager
-    async def serving(self):
+    async def running(self):
         app = web.Application()
         app.add_routes([web.route("*", "/{path:.*}", self.handle)])
         runner = web.AppRunner(
@@ -73,7 +78,7 @@
         finally:
             await runner.cleanup()
 
-    def word(self, state="ready"):
+    def registration(self, state="ready"):
         return {
             "endpoint": self.name,
             "service": self.service,
@@ -85,7 +90,7 @@
 
 
 class GatewayFleet:
-    """Three control hosts on three loopback addresses, and one gateway."""
+    """Three control hosts on separate loopback addresses, and one gateway."""
 
     def __init__(self, folder, **gateway_settings):
         self.folder = folder
@@ -93,40 +98,42 @@
         peer_port = free_address().split(":")[1]
         operator_port = free_address().split(":")[1]
         self.hosts = [f"127.0.0.{number}" for number in (2, 3, 4)]
-        self.operators = [f"{host}:{operator_port}" for host in self.hosts]
+        self.operator_addresses = [
+            f"{host}:{operator_port}" for host in self.hosts
+        ]
         self.peer_port = int(peer_port)
-        self.listen = free_address()
-        self.ready = free_address()
+        self.listen_address = free_address()
+        self.ready_address = free_address()
         self.children = {}
         for number, host in enumerate(self.hosts):
-            self.write_control(number, host, first_start=True)
-        self.write(
+            self.write_control_settings(number, host, first_start=True)
+        self.write_settings(
             "gateway",
             role="gateway",
             internal=free_address(),
-            listen=self.listen,
-            ready_listen=self.ready,
+            listen=self.listen_address,
+            ready_listen=self.ready_address,
             grace_seconds=8.0,
             **gateway_settings,
         )
 
-    def write_control(self, number, host, first_start):
-        self.write(
+    def write_control_settings(self, number, host, first_start):
+        self.write_settings(
             f"control-{number}",
             role="control",
             internal=f"{host}:{self.peer_port}",
-            operator_listen=self.operators[number],
+            operator_listen=self.operator_addresses[number],
             data_folder=str(self.folder / f"data-{number}"),
             self_forming=True,
             first_start=first_start,
             losses=1,
         )
 
-    def write(self, name, **settings):
+    def write_settings(self, name, **settings):
         settings |= {
             "name": name,
             "zone": f"zone-{name}",
-            "seeds": self.operators,
+            "seeds": self.operator_addresses,
             "peer_port": self.peer_port,
             "trust_network": True,
             "log": {"format": "json"},
@@ -142,33 +149,37 @@
         return child
 
     async def put_config(self, config, host=0):
-        """Sends a configuration until it is acknowledged."""
+        """Sends a configuration repeatedly until it is acknowledged."""
 
         async def put():
-            url = f"http://{self.operators[host]}/fleet-config"
+            url = f"http://{self.operator_addresses[host]}/fleet-config"
             async with self.session.put(url, json=config) as response:
                 return response.status == 200
 
         await wait_until(put)
 
     async def read_config(self, host):
-        url = f"http://{self.operators[host]}/fleet-config"
+        url = f"http://{self.operator_addresses[host]}/fleet-config"
         async with self.session.get(url) as response:
             return response.status, await response.json()
 
-    async def all_hosts_serve(self):
-        """Whether each control host has started and knows the leader."""
+    async def control_hosts_are_ready(self):
+        """Whether every control host returns the configuration."""
         found = [await self.read_config(host) for host in range(3)]
         return all(status == 200 for status, _ in found)
 
-    async def tell(self, endpoint, state="ready", host=0):
+    async def send_heartbeat(self, endpoint, state="ready", host=0):
         """Sends an endpoint's heartbeat."""
-        url = f"http://{self.operators[host]}/registrations/{endpoint.name}"
-        async with self.session.put(url, json=endpoint.word(state)) as response:
+        url = f"http://{self.operator_addresses[host]}/registrations/{endpoint.name}"
+        async with self.session.put(
+            url, json=endpoint.registration(state)
+        ) as response:
             assert response.status == 200
 
     async def is_ready(self):
-        async with self.session.get(f"http://{self.ready}/readyz") as response:
+        async with self.session.get(
+            f"http://{self.ready_address}/readyz"
+        ) as response:
             return response.status == 200
 
     def request(self, path="/a/x", method="POST", deadline_ms=3000, **options):
@@ -179,10 +190,13 @@
             **options.pop("headers", {}),
         }
         return self.session.request(
-            method, f"http://{self.listen}{path}", headers=headers, **options
+            method,
+            f"http://{self.listen_address}{path}",
+            headers=headers,
+            **options,
         )
 
-    async def served(self, path="/a/x"):
+    async def is_serving(self, path="/a/x"):
         async with self.request(path) as response:
             return response.status == 200
 
@@ -208,7 +222,7 @@
     }
 
 
-def config(version, *routes, keys=(KEY,)):
+def config(version, *routes, keys=(API_KEY,)):
     return {
         "version": version,
         "routes": [route("a", "/a/"), *routes],
@@ -219,14 +233,14 @@
 
 @contextlib.asynccontextmanager
 async def gateway_fleet(folder, **gateway_settings):
-    """Runs the fleet until it serves requests of the route `/a/`."""
+    """Starts a fleet and yields it once all processes are ready."""
     fleet = GatewayFleet(folder, **gateway_settings)
     try:
         for name in ("control-0", "control-1", "control-2", "gateway"):
             await fleet.start(name)
         await fleet.put_config(config(1))
         await wait_until(fleet.is_ready)
-        await wait_until(fleet.all_hosts_serve)
+        await wait_until(fleet.control_hosts_are_ready)
         yield fleet
     finally:
         await fleet.close()
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A booking runs at most once, and "not run" is true."""
+"""Bookings run at most once, and the outcome "not-run" is reliable."""
 
 import asyncio
 import itertools
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def shop(fleet, bundle):
-    """Three control hosts, two entries, two booking services, one journal."""
+    """A fleet with two booking services that share a journal."""
     await start_small_fleet(fleet, bundle)
     options = ["--journal", str(fleet.folder / "journal")]
     for name in ("shop-1", "shop-2"):
@@ -24,146 +24,142 @@
 
 
 def booked(fleet):
-    """Returns the keys that were booked, as often as they were."""
+    """Returns the keys of all bookings, including duplicates."""
     path = fleet.folder / "journal"
     return path.read_text().split() if path.exists() else []
 
 
-async def until_booked(fleet, key):
+async def wait_until_booked(fleet, key):
     async def is_booked():
         return key in booked(fleet)
 
     await wait_until(is_booked, f"{key} to be booked")
 
 
-async def test_resends_through_any_entry_get_the_first_answer(shop):
-    """The caller loses the answer and sends the booking again elsewhere.
+async def test_retries_through_any_entry_get_the_first_response(shop):
+    """A retry gets 409 while the booking runs and the stored response later.
 
-    While it runs a resend is told so; after, it gets the stored answer; and
-    the same key with another body is an error.
+    The same key with another body is an error.
     """
     first = asyncio.ensure_future(book(shop, "hold-1"))
-    await until_booked(shop, "hold-1")
+    await wait_until_booked(shop, "hold-1")
     during = await book(shop, "hold-1", "entry-2")
     assert (during.status, during.outcome) == (409, "unknown")
     assert "call_in_progress" in during.text
     assert "Retry-After" in during.headers
-    answer = await first
-    assert (answer.status, answer.outcome) == (201, "complete")
+    response = await first
+    assert (response.status, response.outcome) == (201, "complete")
     again = await book(shop, "hold-1", "entry-2")
-    assert (again.status, again.text) == (201, answer.text)
+    assert (again.status, again.text) == (201, response.text)
     assert again.headers["X-Marjoramyard-Replayed"] == "true"
     other = await book(shop, "hold-1", body={"boots": 43})
     assert other.status == 422
     assert booked(shop) == ["hold-1"]
 
 
-async def test_an_entry_that_dies_after_dispatch_leaves_one_booking(shop):
-    """The entry is killed while the booking runs; the caller resends."""
+async def test_an_entry_killed_after_dispatch_leaves_one_booking(shop):
+    """The entry is killed while the booking runs and the caller retries."""
     first = asyncio.ensure_future(book(shop, "hold-2"))
-    await until_booked(shop, "hold-2")
+    await wait_until_booked(shop, "hold-2")
     await shop.children["entry-1"].kill()
-    assert (await first).broken
+    assert (await first).is_truncated
 
-    async def has_answer():
+    async def is_stored():
         return (await book(shop, "hold-2", "entry-2")).status == 201
 
-    await wait_until(has_answer, "the stored answer")
+    await wait_until(is_stored, "the stored response")
     assert booked(shop) == ["hold-2"]
 
 
-async def test_a_frozen_agent_that_thaws_books_nothing_twice(shop):
-    """Both agents freeze; the entry gives the booking up, and says how.
+async def test_a_resumed_agent_books_nothing_twice(shop):
+    """Both agents are suspended until the entry's deadline has passed.
 
-    Whatever it says must still be true after the agents thaw: a booking
-    told "not run" is not there, and a resend books it once.
+    The outcome it reports must still hold after the agents resume, and a
+    retry must not book twice.
     """
     agents = [shop.children[f"agent-shop-{n}"] for n in (1, 2)]
     for agent in agents:
         agent.suspend()
-    answer = await book(shop, "hold-3", X_Request_Deadline_Seconds="4")
-    assert answer.status >= 500
-    assert answer.outcome in ("not-run", "unknown")
-    if answer.outcome == "not-run":
+    response = await book(shop, "hold-3", X_Request_Deadline_Seconds="4")
+    assert response.status >= 500
+    assert response.outcome in ("not-run", "unknown")
+    if response.outcome == "not-run":
         assert "hold-3" not in booked(shop)
     for agent in agents:
         agent.resume()
 
-    async def settled():
+    async def retry_succeeds():
         again = await book(shop, "hold-3", "entry-2")
         return again.status == 201
 
-    await wait_until(settled, "the resend to be booked")
+    await wait_until(retry_succeeds, "the retry to be booked")
     assert booked(shop) == ["hold-3"]
 
 
 async def test_bookings_while_control_leaders_are_killed(shop):
-    """Leaders of the control hosts die while bookings stream in.
+    """Leader failures must neither duplicate nor lose bookings.
 
-    Each caller resends until it is told an answer. Nothing is booked
-    twice, nothing that was answered is missing.
+    Each caller retries until its booking is confirmed.
     """
     stop = asyncio.Event()
-    placed = []
+    confirmed = []
 
     async def customer(number):
         count = 0
         while not stop.is_set():
             count += 1
-            key = f"rush-{number}-{count}"
+            key = f"hold-{number}-{count}"
             tries = itertools.count()
 
-            async def answered(key=key, tries=tries):
-                answer = await book(shop, key, f"entry-{1 + next(tries) % 2}")
-                if answer.outcome == "not-run":
+            async def is_confirmed(key=key, tries=tries):
+                response = await book(shop, key, f"entry-{1 + next(tries) % 2}")
+                if response.outcome == "not-run":
                     assert key not in booked(shop)
-                return answer.status == 201
+                return response.status == 201
 
-            await wait_until(answered, f"{key} to be booked")
-            placed.append(key)
+            await wait_until(is_confirmed, f"{key} to be confirmed")
+            confirmed.append(key)
 
     async def killer():
         for _ in range(2):
             leader = await leader_of(shop)
             await shop.children[leader].kill()
-            goal = len(placed) + 12
+            goal = len(confirmed) + 12
 
-            async def goes_on(goal=goal):
-                return len(placed) >= goal
+            async def progressed(goal=goal):
+                return len(confirmed) >= goal
 
-            await wait_until(goes_on, "bookings under another leader")
+            await wait_until(progressed, "bookings under another leader")
             await shop.restart(leader)
         stop.set()
 
     await asyncio.gather(*(customer(n) for n in range(6)), killer())
-    assert sorted(booked(shop)) == sorted(placed)
+    assert sorted(booked(shop)) == sorted(confirmed)
 
 
 async def leader_of(fleet):
-    async def known():
+    async def current_leader():
         for row in await fleet.ctl_json("status"):
             if row["role"] == "leader":
                 return row["name"]
         return None
 
-    return await wait_until(known, "a leader")
+    return await wait_until(current_leader, "a leader")
 
 
 async def test_without_a_quorum_bookings_are_refused_at_once(shop):
-    """Two of three control hosts die; nothing can be committed.
+    """Without a quorum nothing can be committed, so no booking may be sent.
 
-    Bookings are refused before anything is sent, with when to come back,
-    and stock look-ups go on until the lease ends. The entry can't tell a
-    first try from a resend of a call that ran through another entry, so of
-    the call under that key it says "unknown", never "not run".
+    The outcome is "unknown", as an earlier try may have run through another
+    entry. Repeatable requests are served until the bundle lease ends.
     """
     for name in ("control-1", "control-2"):
         await shop.children[name].kill()
     stock = await call(shop, "GET", "/services/shop/stock/boots")
     assert stock.status == 200
-    answer = await book(shop, "hold-5")
-    assert (answer.status, answer.outcome) == (503, "unknown")
-    assert "Retry-After" in answer.headers
+    response = await book(shop, "hold-5")
+    assert (response.status, response.outcome) == (503, "unknown")
+    assert "Retry-After" in response.headers
     assert "hold-5" not in booked(shop)
 
     async def lease_ended():
@@ -176,21 +172,21 @@
     for entry in shop.entries.values():
         await shop.wait_until_ready(entry)
 
-    async def works_again():
+    async def booking_succeeds():
         return (await book(shop, "hold-5")).status == 201
 
-    await wait_until(works_again, "bookings to work again")
+    await wait_until(booking_succeeds, "bookings to work again")
     assert booked(shop) == ["hold-5"]
 
 
-async def test_an_agent_frozen_between_commit_and_send_is_no_second_booking(
+async def test_an_agent_suspended_between_commit_and_send_books_at_most_once(
     fleet, bundle
 ):
-    """The agent has "started" committed and is frozen before it sends.
+    """The agent is suspended after the start is committed, before it sends.
 
-    The word of the control host is held on its way to make that moment
-    long. The entry gives the booking up and can't say "not run", for the
-    agent may send when it thaws. No resend books beside it.
+    The reply of the control host is held back to widen that window. As the
+    agent may still send later, the outcome must be "unknown" and a retry
+    must not book again.
     """
     await start_small_fleet(fleet, bundle, control=1)
     async with relay_to(fleet.control_hosts["control-1"]) as relay:
@@ -199,7 +195,7 @@
         await fleet.start_endpoint("shop-1", "plain", "shop", *journal)
         await fleet.wait_until_serving("shop-1")
         relay.replies_allowed.clear()
-        late = asyncio.ensure_future(
+        pending = asyncio.ensure_future(
             book(fleet, "hold-7", X_Request_Deadline_Seconds="3")
         )
 
@@ -210,8 +206,8 @@
         agent = fleet.children["agent-shop-1"]
         agent.suspend()
         relay.replies_allowed.set()
-        answer = await late
-        assert answer.outcome == "unknown"
+        response = await pending
+        assert response.outcome == "unknown"
         assert booked(fleet) == []
         agent.resume()
         for entry in ("entry-1", "entry-2"):
--- a/tests/test_complete_responses.py
+++ b/tests/test_complete_responses.py
@@ -1,9 +1,9 @@
-"""Each caller gets the whole answer to its own request, or is told."""
+"""Callers get the complete response to their own request, or an error."""
 
 import asyncio
 
 import pytest
-from callers import call, chat, open_stream, read_rest
+from callers import call, chat, open_stream, read_to_end
 
 from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 from marjoramyard.standin.processes import free_address
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def chat_fleet(fleet, bundle):
-    """One control host, two entries, two engines."""
+    """A fleet with one control host, two entries and two engines."""
     await start_small_fleet(fleet, bundle, control=1)
     for name in ("chat-1", "chat-2"):
         await fleet.add_endpoint(name, "engine", "chat")
@@ -20,8 +20,8 @@
     return fleet
 
 
-async def running_on(fleet):
-    """Returns the engine that runs something."""
+async def busy_engine(fleet):
+    """Returns the name of an engine with a running request, or None."""
     for name in ("chat-1", "chat-2"):
         child = fleet.children[name]
         if child.is_running and (await fleet.counters(name))["running"]:
@@ -29,85 +29,83 @@
     return None
 
 
-async def test_answers_never_meet_another_request(chat_fleet):
-    """An agent freezes while it runs a guide and thaws much later.
+async def test_late_responses_never_reach_another_request(chat_fleet):
+    """A late response must not reach the next caller of its agent.
 
-    The guide is run again elsewhere; the late answer must not reach the
-    caller that uses the thawed agent next (the wrong boot sizes).
+    The agent is suspended while a request runs, which is then retried
+    elsewhere; the agent resumes and gets new requests.
     """
-    guide = asyncio.ensure_future(
+    slow = asyncio.ensure_future(
         chat(chat_fleet, content="GUIDE", max_tokens=60)
     )
-    name = await wait_until(lambda: running_on(chat_fleet), "the guide to run")
+    name = await wait_until(
+        lambda: busy_engine(chat_fleet), "the request to run"
+    )
     agent = chat_fleet.children[f"agent-{name}"]
     agent.suspend()
-    answer = await guide
-    assert (answer.status, answer.outcome) == (200, "complete")
+    response = await slow
+    assert (response.status, response.outcome) == (200, "complete")
     agent.resume()
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(chat(chat_fleet, max_tokens=n) for n in range(1, 12))
     )
-    for count, later in enumerate(answers, start=1):
+    for count, later in enumerate(responses, start=1):
         assert f'"completion_tokens": {count}' in later.text
 
 
-async def test_a_stream_that_stalls_ends_visibly(chat_fleet):
-    """The engine falls silent in mid-answer and keeps its connection.
+async def test_a_stalled_stream_ends_with_an_error(chat_fleet):
+    """The engine stops sending within a response but keeps its connection.
 
-    The caller must not wait for ever, nor take the part for a whole.
+    The caller must get an error event instead of waiting indefinitely.
     """
-    answer = await chat(chat_fleet, stream=True, max_tokens=9, stall_after=3)
-    assert answer.text.count("delta") == 3
-    assert "event: error" in answer.text
-    assert "endpoint_stalled" in answer.text
-    assert answer.broken
+    response = await chat(chat_fleet, stream=True, max_tokens=9, stall_after=3)
+    assert response.text.count("delta") == 3
+    assert "event: error" in response.text
+    assert "endpoint_stalled" in response.text
+    assert response.is_truncated
 
 
-async def test_a_cut_stream_never_looks_whole(chat_fleet):
-    """The engine breaks the connection in mid-answer."""
-    answer = await chat(chat_fleet, stream=True, max_tokens=9, cut_after=3)
-    assert answer.broken
-    assert "[DONE]" not in answer.text
-    assert '"outcome":"unknown"' in answer.text
+async def test_a_truncated_stream_never_looks_complete(chat_fleet):
+    """The engine closes the connection within a response."""
+    response = await chat(chat_fleet, stream=True, max_tokens=9, cut_after=3)
+    assert response.is_truncated
+    assert "[DONE]" not in response.text
+    assert '"outcome":"unknown"' in response.text
 
 
-async def test_an_engine_killed_before_the_first_byte_costs_one_retry(
+async def test_an_engine_killed_before_the_first_byte_is_retried(
     chat_fleet,
 ):
-    """An engine dies while it works on a plain answer.
-
-    Nothing was delivered and the request is repeatable: the caller gets
-    the whole answer from the other engine.
-    """
+    """A repeatable request is retried if no byte was delivered."""
     slow = asyncio.ensure_future(chat(chat_fleet, max_tokens=50))
-    name = await wait_until(lambda: running_on(chat_fleet), "the chat to run")
+    name = await wait_until(lambda: busy_engine(chat_fleet), "the chat to run")
     await chat_fleet.children[name].kill()
-    answer = await slow
-    assert (answer.status, answer.outcome) == (200, "complete")
+    response = await slow
+    assert (response.status, response.outcome) == (200, "complete")
 
 
-async def test_an_agent_killed_in_mid_stream_cuts_visibly(chat_fleet):
+async def test_an_agent_killed_within_a_stream_truncates_it_visibly(chat_fleet):
     async with open_stream(chat_fleet, max_tokens=400) as response:
-        name = await running_on(chat_fleet)
+        name = await busy_engine(chat_fleet)
         await chat_fleet.children[f"agent-{name}"].kill()
-        text, broken = await read_rest(response)
-    assert broken and "[DONE]" not in text
+        text, is_truncated = await read_to_end(response)
+    assert is_truncated and "[DONE]" not in text
 
 
-async def test_a_caller_that_leaves_frees_the_engine(chat_fleet):
-    """A student closes the page in the middle of a long guide."""
+async def test_a_disconnected_caller_frees_the_engine(chat_fleet):
+    """The caller disconnects within a stream."""
     async with open_stream(chat_fleet, max_tokens=5000) as response:
-        name = await running_on(chat_fleet)
+        name = await busy_engine(chat_fleet)
         response.close()
 
     async def cancelled():
         return (await chat_fleet.counters(name))["cancelled"]
 
-    assert await wait_until(cancelled, "the engine to be told")
+    assert await wait_until(cancelled, "the request to be cancelled")
 
 
 async def test_a_slow_reader_gets_every_byte(chat_fleet):
-    """A caller on a bad line takes the answer in small sips."""
+    """The caller reads the response in small chunks."""
     async with open_stream(chat_fleet, max_tokens=300) as response:
         text = ""
         while data := await response.content.read(500):
@@ -118,10 +116,10 @@
 
 
 async def test_a_broken_link_is_resumed_without_loss(fleet, bundle):
-    """The connection between entry and agent breaks in mid-stream, twice.
+    """The connection between entry and agent breaks twice within a stream.
 
-    The agent keeps the frames; the entry asks for those that are missing,
-    and the caller notices nothing.
+    The entry requests the missing frames from the agent's replay buffer, and
+    the caller gets the complete stream.
     """
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     internal = free_address()
@@ -134,15 +132,15 @@
             relay.break_connections()
             first = await response.content.readuntil(b"\n\n")
             relay.break_connections()
-            rest, broken = await read_rest(response)
+            rest, is_truncated = await read_to_end(response)
         text = first.decode() + rest
-    assert not broken
+    assert not is_truncated
     assert text.count("delta") == 199
     assert text.endswith("data: [DONE]\n\n")
 
 
-async def test_bad_input_gets_typed_answers_and_leaks_nothing(chat_fleet):
-    """Wrong keys, routes, bodies and headers of every kind."""
+async def test_invalid_input_gets_specific_error_codes(chat_fleet):
+    """Invalid keys, routes, bodies and headers get specific error codes."""
     path = "/v1/chat/completions"
     cases = [
         ({"Authorization": "Bearer nope"}, path, b"{}", "unknown_api_key"),
@@ -181,11 +179,11 @@
         chat_fleet, "GET", "/services/shop/stock/x", workspace="guides"
     )
     assert refused.status == 403
-    answer = await chat(chat_fleet, max_tokens=1)
-    assert answer.status == 200
+    accepted = await chat(chat_fleet, max_tokens=1)
+    assert accepted.status == 200
 
 
-async def test_a_process_without_the_secret_gets_nothing(chat_fleet):
+async def test_internal_addresses_require_the_secret(chat_fleet):
     for address in [
         *chat_fleet.control_hosts.values(),
         *chat_fleet.internal_addresses.values(),
@@ -197,16 +195,16 @@
                 assert response.status in (401, 404)
 
 
-async def test_a_stream_that_the_engine_can_resume_is_resumed(chat_fleet):
-    """The engine breaks off in the middle of an event, and can go on.
+async def test_a_resumable_stream_is_resumed(chat_fleet):
+    """A resumable stream that breaks within an event is resumed.
 
-    The caller gets each token once, and the engine computed nothing twice.
+    The caller gets each token once, and the engine gets only one request.
     """
-    answer = await chat(
+    response = await chat(
         chat_fleet, stream=True, max_tokens=9, cut_after=4, resumable=True
     )
-    assert answer.is_whole_stream
-    assert answer.text.count('"delta"') == 9
+    assert response.is_complete_stream
+    assert response.text.count('"delta"') == 9
     calls = [
         call
         for name in ("chat-1", "chat-2")
@@ -215,36 +213,36 @@
     assert len(calls) == 1
 
 
-async def test_a_truncated_body_is_never_passed_off_as_whole(chat_fleet):
-    """Each engine promises 100 bytes, sends a few and breaks off.
+async def test_a_truncated_body_is_never_delivered_as_complete(chat_fleet):
+    """Both engines close the connection before the announced length.
 
-    The request is repeatable, so it is tried again, within the budget; the
-    caller is told in the end that it may have run.
+    The retry fails as well, so the caller gets an error with the outcome
+    "unknown".
     """
-    answer = await chat(chat_fleet, max_tokens=1, cut_after=0)
-    assert answer.status in (502, 503)
-    assert answer.outcome == "unknown"
-    assert "choices" not in answer.text
+    response = await chat(chat_fleet, max_tokens=1, cut_after=0)
+    assert response.status in (502, 503)
+    assert response.outcome == "unknown"
+    assert "choices" not in response.text
 
 
-async def test_a_frozen_entry_that_thaws_delivers_the_whole(chat_fleet):
-    """The entry's host hangs in mid-stream and comes back.
+async def test_a_resumed_entry_delivers_the_complete_stream(chat_fleet):
+    """The entry is suspended within a stream and resumes.
 
-    Bytes wait in the network meanwhile; none is lost or repeated.
+    No byte may be lost or repeated.
     """
     async with open_stream(chat_fleet, max_tokens=200) as response:
         entry = chat_fleet.children["entry-1"]
         entry.suspend()
 
-        async def engine_goes_on():
+        async def engine_finished():
             counts = [
                 await chat_fleet.counters(n) for n in ("chat-1", "chat-2")
             ]
             return sum(c["served"] for c in counts) == 1
 
-        await wait_until(engine_goes_on, "the engine to end the stream")
+        await wait_until(engine_finished, "the engine to finish the stream")
         entry.resume()
-        text, broken = await read_rest(response)
-    assert not broken
+        text, is_truncated = await read_to_end(response)
+    assert not is_truncated
     assert text.count("delta") == 199
     assert text.endswith("data: [DONE]\n\n")
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -1,4 +1,4 @@
-"""Bundles in force everywhere, never back, through faults of control."""
+"""Bundles, audit records and orders survive faults of control hosts."""
 
 import asyncio
 import copy
@@ -24,13 +24,13 @@
 
 
 async def leader_of(fleet):
-    async def known():
+    async def current_leader():
         rows = await fleet.ctl_json("status")
         leaders = [r for r in rows if r["role"] == "leader"]
         leaders.sort(key=lambda r: r["term"])
         return leaders[-1]["name"] if leaders else None
 
-    return await wait_until(known, "a leader")
+    return await wait_until(current_leader, "a leader")
 
 
 async def version_on(fleet, address):
@@ -42,17 +42,17 @@
     return 0
 
 
-async def until_version(fleet, version):
+async def wait_until_version(fleet, version):
     for address in fleet.internal_addresses.values():
 
-        async def is_there(address=address):
+        async def is_in_force(address=address):
             return await version_on(fleet, address) == version
 
-        await wait_until(is_there, f"version {version} on {address}")
+        await wait_until(is_in_force, f"version {version} on {address}")
 
 
-async def test_two_operators_race_and_the_loser_is_told(fleet, bundle):
-    """Both wrote against version 1; both tools run at the same moment."""
+async def test_only_one_of_two_concurrent_rolls_succeeds(fleet, bundle):
+    """Both changes are based on version 1 and rolled at the same time."""
     await start_small_fleet(fleet, bundle, entries=1)
     one = await fleet.propose(with_share(bundle, 5))
     two = await fleet.propose(with_share(bundle, 7))
@@ -68,8 +68,8 @@
 
     outcomes = await asyncio.gather(roll(one), roll(two))
     assert outcomes.count("rolled") == 1
-    lost = next(o for o in outcomes if o != "rolled")
-    assert "exit 4" in lost and "version 2 by awa is in force" in lost
+    error = next(o for o in outcomes if o != "rolled")
+    assert "exit 4" in error and "version 2 by awa is in force" in error
     again = await fleet.ctl_json(
         "roll",
         one if outcomes[0] == "rolled" else two,
@@ -78,8 +78,8 @@
     assert again["version"] == 2
 
 
-async def test_only_signed_and_approved_changes_are_taken(fleet, bundle):
-    """An operator signs as another one, or approves his own change."""
+async def test_only_signed_and_approved_changes_are_accepted(fleet, bundle):
+    """Forged signatures and self-approvals are rejected."""
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     changed = fleet.write_bundle(with_share(bundle, 9))
     forged = ["--as", AUTHOR, "--key", str(fleet.folder / "bento.key")]
@@ -96,14 +96,12 @@
     assert "not approved" in errors
 
 
-async def test_hundreds_of_changes_kills_and_restarts_lose_nothing(
-    fleet, bundle
-):
-    """Changes stream in while each control host is killed and restarted.
+async def test_changes_survive_kills_and_restarts(fleet, bundle):
+    """Each control host is killed and restarted while changes are rolled.
 
-    Snapshots are taken all the time (one for each 20 entries). What was
-    reported as rolled is in force on every router at the end, the audit
-    chain is whole, and a resent roll returns its first outcome.
+    Every rolled version must be kept through log compaction and reach all
+    routers, the audit chain must verify, and a repeated roll must return its
+    first result.
     """
     await fleet.make_keys()
     names = [f"control-{n}" for n in (1, 2, 3)]
@@ -124,16 +122,16 @@
             await fleet.children[name].kill()
             goal = len(rolled) + 2
 
-            async def goes_on(goal=goal):
+            async def progressed(goal=goal):
                 return len(rolled) >= goal
 
-            await wait_until(goes_on, f"changes without {name}")
+            await wait_until(progressed, f"changes without {name}")
             await fleet.restart(name)
             await fleet.wait_until_healthy(fleet.control_hosts[name])
 
     await asyncio.gather(operator(), killer())
     assert rolled == list(range(2, 14))
-    await until_version(fleet, 13)
+    await wait_until_version(fleet, 13)
     keys = [f"{who}={key}" for who, key in fleet.public_keys.items()]
     options = [x for key in keys for x in ("--bootstrap-key", key)]
     checked = await fleet.ctl_json("audit", "verify", *options)
@@ -146,17 +144,18 @@
     assert again["version"] == 2
 
 
-async def test_a_frozen_leader_that_thaws_changes_nothing(fleet, bundle):
-    """The leader's host is cut off for long; a bundle is rolled meanwhile.
+async def test_a_resumed_leader_reverts_nothing(fleet, bundle):
+    """A leader that resumes must not serve its old bundle.
 
-    Routers follow the new leader. When the old one thaws it still thinks
-    that it leads; no router may get the old version from it.
+    A bundle is rolled while the leader is suspended. After it resumes
+    without a quorum, it must step down and no router may get the old version
+    from it.
     """
     await start_small_fleet(fleet, bundle)
     old = await leader_of(fleet)
     fleet.children[old].suspend()
     assert await fleet.roll_out(with_share(bundle, 3)) == 2
-    await until_version(fleet, 2)
+    await wait_until_version(fleet, 2)
     fleet.children[old].resume()
     for name in fleet.control_hosts:
         if name != old:
@@ -167,25 +166,25 @@
     assert entry.is_running
     await fleet.wait_until_healthy(fleet.entries["entry-1"])
 
-    async def old_leader_gave_up():
+    async def old_leader_stepped_down():
         rows = await fleet.ctl_json("status")
         row = next(r for r in rows if r["host"] == address)
         return row["role"] not in ("leader", "no answer")
 
-    await wait_until(old_leader_gave_up, "the old leader to step down")
+    await wait_until(old_leader_stepped_down, "the old leader to step down")
     refused = await chat(fleet, "entry-1", max_tokens=1)
     assert (refused.status, refused.outcome) == (503, "not-run")
     assert "no_bundle_lease" in refused.text
     for name in fleet.control_hosts:
         fleet.children[name].resume()
-    await until_version(fleet, 2)
+    await wait_until_version(fleet, 2)
 
 
 async def test_a_silently_cut_control_host_is_no_harm(fleet, bundle):
-    """All links of one control host go through relays that swallow bytes.
+    """One control host is partitioned without its connections closing.
 
-    Nobody is told of the cut. The others go on; after the heal the host
-    catches up, and neither its term nor its version moves anyone back.
+    The others go on; after the partition heals the host catches up, and no
+    version is reverted.
     """
     await fleet.make_keys()
     names = ["control-1", "control-2", "control-3"]
@@ -205,10 +204,10 @@
         await fleet.ctl("cluster", "init")
         await fleet.start_entry("entry-1")
         await fleet.roll_out(bundle)
-        await until_version(fleet, 1)
+        await wait_until_version(fleet, 1)
         relay.partition()
         assert await fleet.roll_out(with_share(bundle, 4)) == 2
-        await until_version(fleet, 2)
+        await wait_until_version(fleet, 2)
         relay.heal()
         assert await fleet.roll_out(with_share(bundle, 6)) == 3
 
@@ -216,17 +215,16 @@
             rows = await fleet.ctl_json("status")
             return [r.get("bundle") for r in rows] == [3, 3, 3]
 
-        await wait_until(caught_up, "the healed host to catch up")
-        await until_version(fleet, 3)
+        await wait_until(caught_up, "the partitioned host to catch up")
+        await wait_until_version(fleet, 3)
 
 
-async def test_a_lost_disk_is_repaired_and_a_second_loss_loses_nothing(
+async def test_a_second_disk_loss_after_a_replacement_loses_nothing(
     fleet, bundle
 ):
-    """A host loses its disk and is replaced; right after, another is lost.
+    """A host loses its disk and is replaced, then another loses its own.
 
-    The tool says when it is safe. All bundles and the ledger are still
-    there, on the two hosts that remain.
+    Bundles and the call ledger must be complete on the remaining hosts.
     """
     await start_small_fleet(fleet, bundle, entries=1)
     await fleet.add_endpoint("shop-1", "plain", "shop")
@@ -260,7 +258,7 @@
 
 
 async def test_init_never_forms_a_second_cluster(fleet, bundle):
-    """A host lost its disk and an operator runs `cluster init` again."""
+    """A repeated `cluster init` is rejected."""
     await start_small_fleet(fleet, bundle, entries=1)
     errors = await fleet.ctl("cluster", "init", code=4)
     assert "holds a replica already" in errors
@@ -268,11 +266,11 @@
 
 @pytest.mark.parametrize("checks", [True, False])
 async def test_an_old_order_never_follows_a_newer_one(fleet, bundle, checks):
-    """Orders are issued, the leader freezes, a newer order is issued.
+    """An endpoint must not follow an old order after a newer one.
 
-    Then the agent is restarted with no memory and the old leader thaws.
-    The endpoint may or may not check numbers itself; it follows only the
-    newest order in either case.
+    The newer order is issued while the first leader is suspended; then the
+    leader resumes and the agent restarts without state. The endpoint may or
+    may not check fencing numbers itself.
     """
     await start_small_fleet(fleet, bundle, entries=1)
     options = ["--checks-fencing"] if checks else []
@@ -296,12 +294,12 @@
     assert "model-a" not in orders[orders.index("model-b") :]
 
 
-async def test_the_directory_comes_back_after_all_control_hosts_restart(
+async def test_the_directory_is_restored_after_all_control_hosts_restart(
     fleet, bundle
 ):
-    """All control hosts are killed at once and come back with their disks.
+    """All control hosts are killed at once and restart with their disks.
 
-    Requests go on meanwhile, and the directory is whole again in seconds.
+    Requests are served meanwhile, and the directory is restored.
     """
     await start_small_fleet(fleet, bundle)
     await fleet.add_endpoint("chat-1", "engine", "chat")
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes."""
+"""Requests through separate processes, from caller to endpoint."""
 
 from marjoramyard.standin.local_fleet import start_small_fleet, wait_until
 
@@ -12,7 +12,7 @@
         return response.status, await response.text()
 
 
-async def test_streamed_and_plain_answers_while_endpoints_come_and_go(
+async def test_requests_are_served_while_endpoints_join_and_leave(
     fleet, bundle
 ):
     await start_small_fleet(fleet, bundle)
@@ -44,10 +44,10 @@
     assert (await fleet.counters("chat-1"))["served"] == before
     assert (await fleet.counters("chat-2"))["served"] == 5
 
-    async def is_gone():
+    async def is_leaving():
         rows = await fleet.ctl_json("endpoints")
         return any(
             r["endpoint"] == "chat-1" and r["state"] == "leaving" for r in rows
         )
 
-    assert await wait_until(is_gone, "the directory to say that chat-1 leaves")
+    assert await wait_until(is_leaving, "chat-1 to be listed as leaving")
--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -1,4 +1,4 @@
-"""Gateways and self-forming control hosts, as separate processes."""
+"""A gateway and control hosts as separate processes, end to end."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 import pytest
 from aiohttp import web
 from gateway_fleet import (
-    KEY,
+    API_KEY,
     FakeEndpoint,
     config,
     gateway_fleet,
@@ -26,22 +26,22 @@
 
 @pytest.fixture
 async def endpoint(fleet):
-    async with FakeEndpoint("i-1").serving() as one:
-        await fleet.tell(one)
-        await wait_until(fleet.served)
-        one.seen.clear()
+    async with FakeEndpoint("i-1").running() as one:
+        await fleet.send_heartbeat(one)
+        await wait_until(fleet.is_serving)
+        one.requests.clear()
         yield one
 
 
-async def test_a_request_is_served_with_our_headers_only(fleet, endpoint):
+async def test_forwarded_requests_have_the_fleet_s_headers(fleet, endpoint):
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    await wait_until(lambda: fleet_has(fleet, "/k/x", 401))
-    headers = {"Api-Key": KEY, "Workspace": "somebody-else", "X-Mine": "1"}
+    await wait_until(lambda: responds_with(fleet, "/k/x", 401))
+    headers = {"Api-Key": API_KEY, "Workspace": "somebody-else", "X-Mine": "1"}
     async with fleet.request("/k/x?q=1", data=b"body", headers=headers) as got:
         assert got.status == 200
-        assert await got.text() == "whole body"
+        assert await got.text() == "echo body"
         assert got.headers["Answer-Signature"] == "by i-1"
-    _, seen, _ = endpoint.seen[-1]
+    _, seen, _ = endpoint.requests[-1]
     assert seen["Workspace"] == "shop"
     assert seen["Target-Endpoint"] == "i-1"
     assert seen["X-Mine"] == "1"
@@ -49,21 +49,23 @@
     assert 0 < int(seen["Request-Deadline-Ms"]) <= 2000
 
 
-async def fleet_has(fleet, path, status):
+async def responds_with(fleet, path, status):
     async with fleet.request(path) as response:
         return response.status == status
 
 
-async def test_an_unknown_path_and_a_wrong_key_are_told_apart(fleet, endpoint):
+async def test_unknown_paths_and_missing_keys_have_distinct_statuses(
+    fleet, endpoint
+):
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    await wait_until(lambda: fleet_has(fleet, "/k/x", 401))
-    assert await fleet_has(fleet, "/nowhere/x", 404)
-    assert endpoint.seen == []
+    await wait_until(lambda: responds_with(fleet, "/k/x", 401))
+    assert await responds_with(fleet, "/nowhere/x", 404)
+    assert endpoint.requests == []
 
 
-async def test_a_key_that_was_taken_away_is_refused(fleet, endpoint):
+async def test_a_revoked_key_is_refused(fleet, endpoint):
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    headers = {"Api-Key": KEY}
+    headers = {"Api-Key": API_KEY}
 
     async def allowed():
         async with fleet.request("/k/x", headers=headers) as response:
@@ -80,14 +82,13 @@
 
 
 async def test_a_cut_off_gateway_stops_taking_keys(fleet, endpoint):
-    """A key that was taken away would go on working at a gateway cut off.
+    """A partitioned gateway must not accept a key that may be revoked.
 
-    All control hosts stand still, so nobody can tell the gateway of a
-    change. Within the revocation time it refuses keys, says that nothing
-    was run, and goes on serving what needs no key.
+    All control hosts are suspended. Within the revocation time the gateway
+    refuses requests with a key, and still serves routes without one.
     """
     await fleet.put_config(config(2, route("k", "/k/", open_access=False)))
-    headers = {"Api-Key": KEY}
+    headers = {"Api-Key": API_KEY}
 
     async def status():
         async with fleet.request("/k/x", headers=headers) as response:
@@ -104,205 +105,216 @@
     for child in controls:
         child.suspend()
     await wait_until(is_refused, seconds=6.0)
-    assert await fleet.served()
+    assert await fleet.is_serving()
     assert not await fleet.is_ready()
     for child in controls:
         child.resume()
     await wait_until(is_allowed)
 
 
-async def test_a_draining_endpoint_gets_no_new_work(fleet, endpoint):
-    async with FakeEndpoint("i-2").serving() as other:
-        await fleet.tell(other, host=1)
-        await fleet.tell(endpoint, "draining", host=2)
+async def test_a_draining_endpoint_gets_no_new_requests(fleet, endpoint):
+    async with FakeEndpoint("i-2").running() as other:
+        await fleet.send_heartbeat(other, host=1)
+        await fleet.send_heartbeat(endpoint, "draining", host=2)
 
-        async def goes_to_the_other():
-            before = len(other.seen)
-            await fleet.served()
-            return len(other.seen) > before
+        async def other_is_used():
+            before = len(other.requests)
+            await fleet.is_serving()
+            return len(other.requests) > before
 
-        await wait_until(goes_to_the_other)
-        endpoint.seen.clear()
+        await wait_until(other_is_used)
+        endpoint.requests.clear()
         for _ in range(10):
-            assert await fleet.served()
-        assert endpoint.seen == []
+            assert await fleet.is_serving()
+        assert endpoint.requests == []
 
 
-async def test_a_broken_idempotent_request_runs_once_more(fleet, endpoint):
-    async def broken(request):
+async def test_a_failed_idempotent_request_is_retried(fleet, endpoint):
+    async def abort(request):
         request.transport.abort()
         return web.Response()
 
-    endpoint.answer = broken
-    async with FakeEndpoint("i-2").serving() as other:
-        await fleet.tell(other)
+    endpoint.respond = abort
+    async with FakeEndpoint("i-2").running() as other:
+        await fleet.send_heartbeat(other)
 
-        async def served_after_a_break():
-            # False until the gateway has heard of the second endpoint.
-            return await fleet.served() and endpoint.seen and other.seen
+        async def served_after_retry():
+            # Retries need the second endpoint, which may not be known yet.
+            return (
+                await fleet.is_serving()
+                and endpoint.requests
+                and other.requests
+            )
 
-        await wait_until(served_after_a_break)
+        await wait_until(served_after_retry)
         for _ in range(10):
-            assert await fleet.served()
+            assert await fleet.is_serving()
 
 
-async def test_a_booking_that_broke_is_never_sent_again(fleet, endpoint):
-    """A customer's card would be charged twice.
+async def test_a_failed_non_idempotent_request_is_not_retried(fleet, endpoint):
+    """A retry could run the request twice.
 
-    The endpoint takes the booking and its connection breaks. It may have
-    run, so the caller is told 502, which promises nothing, and no other
-    endpoint gets it.
+    The endpoint aborts the connection after it got the request, so the
+    outcome is unknown: the caller gets 502 and no other endpoint is tried.
     """
     await fleet.put_config(config(2, route("b", "/b/", kind="non_idempotent")))
 
-    async def broken(request):
+    async def abort(request):
         request.transport.abort()
         return web.Response()
 
-    endpoint.answer = broken
-    async with FakeEndpoint("i-2").serving() as other:
-        other.answer = broken
-        await fleet.tell(other)
-        await wait_until(lambda: fleet_has(fleet, "/b/x", 502))
-        endpoint.seen.clear()
-        other.seen.clear()
+    endpoint.respond = abort
+    async with FakeEndpoint("i-2").running() as other:
+        other.respond = abort
+        await fleet.send_heartbeat(other)
+        await wait_until(lambda: responds_with(fleet, "/b/x", 502))
+        endpoint.requests.clear()
+        other.requests.clear()
         async with fleet.request("/b/x", id="once") as response:
             assert response.status == 502
-        assert len(endpoint.seen) + len(other.seen) == 1
+        assert len(endpoint.requests) + len(other.requests) == 1
 
 
-async def test_an_answer_of_another_request_reaches_nobody(fleet, endpoint):
-    """A caller would read another caller's answer.
+async def test_a_response_of_another_request_is_discarded(fleet, endpoint):
+    """A response with the id of another request must not be delivered.
 
-    The endpoint answers under another request's id, as an extra answer that
-    came late on a kept connection does.
+    A late response on a keep-alive connection has such an id.
     """
 
-    async def strangers(request):
-        headers = {**endpoint.signed(request), "Request-Id": "stranger"}
-        return web.Response(text="stranger's", headers=headers)
+    async def respond_with_other_id(request):
+        headers = {
+            **endpoint.response_headers(request),
+            "Request-Id": "other-request",
+        }
+        return web.Response(text="other response", headers=headers)
 
-    endpoint.answer = strangers
+    endpoint.respond = respond_with_other_id
     async with fleet.request() as response:
         assert response.status == 502
-        assert "stranger's" not in await response.text()
+        assert "other response" not in await response.text()
 
 
-async def test_a_route_s_timeout_ends_the_wait(fleet, endpoint):
-    async def never(_):
+async def test_a_route_s_timeout_limits_a_request(fleet, endpoint):
+    async def wait_forever(_):
         await asyncio.Event().wait()
 
-    endpoint.answer = never
+    endpoint.respond = wait_forever
     async with fleet.request(deadline_ms=30_000) as response:
         assert response.status == 504
 
 
-async def test_a_caller_that_leaves_ends_the_run(fleet, endpoint):
-    left = asyncio.Event()
-    begun = asyncio.Event()
+async def test_a_disconnected_caller_cancels_the_request(fleet, endpoint):
+    cancelled = asyncio.Event()
+    started = asyncio.Event()
 
-    async def long(_):
-        begun.set()
+    async def wait_until_cancelled(_):
+        started.set()
         try:
             await asyncio.Event().wait()
         finally:
-            left.set()
+            cancelled.set()
 
-    endpoint.answer = long
-    task = asyncio.create_task(fleet.served())
-    await begun.wait()
+    endpoint.respond = wait_until_cancelled
+    task = asyncio.create_task(fleet.is_serving())
+    await started.wait()
     task.cancel()
     async with asyncio.timeout(5.0):
-        await left.wait()
+        await cancelled.wait()
 
 
-def events(request, endpoint, first, last, break_after=False):
-    """Answers with numbered events, and may break in the middle of one."""
+def stream_events(request, endpoint, first, last, abort_after=False):
+    """Streams numbered events; may abort in the middle of the next one."""
 
-    async def answer():
-        response = web.StreamResponse(headers=endpoint.signed(request))
+    async def respond():
+        response = web.StreamResponse(
+            headers=endpoint.response_headers(request)
+        )
         response.content_type = "text/event-stream"
         await response.prepare(request)
         for number in range(first, last + 1):
-            text = f"id: {number}\ndata: piece {number}\n\n"
+            text = f"id: {number}\ndata: event {number}\n\n"
             await response.write(text.encode())
-        if break_after:
+        if abort_after:
             await response.write(b"id: 99\nda")
             await asyncio.sleep(0)
             request.transport.abort()
         return response
 
-    return answer()
+    return respond()
 
 
 STREAM = {"kind": "stream", "resumable": True}
 
 
-async def test_a_stream_goes_on_at_another_endpoint(fleet, endpoint):
-    """A fitting chat would stall in the middle of its answer.
+async def test_a_failed_stream_is_resumed_at_another_endpoint(fleet, endpoint):
+    """A stream that fails within an event is resumed elsewhere.
 
-    The first endpoint breaks off within an event. The caller sees each event
-    once and in order, and the answer ends as a whole.
+    The caller receives each event once, in order, and the stream completes.
     """
     await fleet.put_config(config(2, route("s", "/s/", **STREAM)))
-    async with FakeEndpoint("i-2").serving() as other:
-        await fleet.tell(other)
+    async with FakeEndpoint("i-2").running() as other:
+        await fleet.send_heartbeat(other)
 
-        async def answer(request, which):
+        async def respond(request, which):
             last = request.headers.get("Last-Event-Id")
             if last is None:
-                return await events(request, which, 1, 3, break_after=True)
-            return await events(request, which, int(last) + 1, 6)
+                return await stream_events(
+                    request, which, 1, 3, abort_after=True
+                )
+            return await stream_events(request, which, int(last) + 1, 6)
 
-        endpoint.answer = lambda request: answer(request, endpoint)
-        other.answer = lambda request: answer(request, other)
+        endpoint.respond = lambda request: respond(request, endpoint)
+        other.respond = lambda request: respond(request, other)
 
-        async def whole():
+        async def completed():
             async with fleet.request("/s/x") as response:
                 if response.status != 200:
                     return None
                 return await response.text()
 
-        text = await wait_until(whole)
-        pieces = [n for n in range(1, 7) if f"piece {n}\n" in text]
-        assert pieces == [1, 2, 3, 4, 5, 6]
-        assert text.count("piece 3\n") == 1
+        text = await wait_until(completed)
+        received = [n for n in range(1, 7) if f"event {n}\n" in text]
+        assert received == [1, 2, 3, 4, 5, 6]
+        assert text.count("event 3\n") == 1
         assert "id: 99" not in text
 
 
-async def test_a_stream_that_can_t_go_on_looks_cut(fleet, endpoint):
+async def test_a_stream_that_cannot_resume_is_truncated_visibly(
+    fleet, endpoint
+):
     await fleet.put_config(
         config(2, route("s", "/s/", kind="stream", max_attempts=1))
     )
-    endpoint.answer = lambda request: events(
-        request, endpoint, 1, 3, break_after=True
+    endpoint.respond = lambda request: stream_events(
+        request, endpoint, 1, 3, abort_after=True
     )
-    await wait_until(lambda: fleet_has(fleet, "/s/x", 200))
+    await wait_until(lambda: responds_with(fleet, "/s/x", 200))
     async with fleet.request("/s/x") as response:
         with pytest.raises(aiohttp.ClientPayloadError):
             await response.text()
 
 
-async def test_shutdown_answers_what_it_has_and_refuses_what_comes(
+async def test_shutdown_completes_running_requests_and_refuses_new_ones(
     fleet, endpoint
 ):
-    """A caller's kept connection would meet silence, then a cut.
+    """SIGTERM must not truncate responses or stall keep-alive connections.
 
-    SIGTERM comes while a request runs. Readiness goes at once, the request
-    ends whole, and a connection that is kept open is answered or closed,
-    never left waiting.
+    The gateway gets SIGTERM while a request runs: it stops being ready,
+    completes the request, and answers or closes open connections.
     """
     release = asyncio.Event()
-    begun = asyncio.Event()
+    started = asyncio.Event()
 
-    async def slow(request):
-        begun.set()
+    async def respond_later(request):
+        started.set()
         await release.wait()
-        return web.Response(text="slow", headers=endpoint.signed(request))
+        return web.Response(
+            text="slow", headers=endpoint.response_headers(request)
+        )
 
-    endpoint.answer = slow
-    running = asyncio.create_task(whole_text(fleet))
-    await begun.wait()
+    endpoint.respond = respond_later
+    running = asyncio.create_task(response_text(fleet))
+    await started.wait()
     child = fleet.children["gateway"]
     child.signal(signal.SIGTERM)
 
@@ -312,7 +324,7 @@
     await wait_until(not_ready)
     release.set()
     assert await running == "slow"
-    endpoint.answer = None
+    endpoint.respond = None
     statuses = []
     while child.is_running:
         with contextlib.suppress(aiohttp.ClientError):
@@ -324,31 +336,30 @@
     assert child.process.returncode in (0, None)
 
 
-async def whole_text(fleet):
+async def response_text(fleet):
     async with fleet.request() as response:
         return await response.text()
 
 
 async def test_idle_connections_do_not_use_up_the_descriptors(tmp_path):
-    """A caller would wait for a second or more and then be cut off.
+    """The gateway closes its oldest idle connections near the limit.
 
-    Callers leave connections open after each retry. The gateway closes the
-    oldest idle ones before the next one can't be taken any more.
+    Without free descriptors it could not accept new connections.
     """
     async with gateway_fleet(tmp_path, max_descriptors=300) as fleet:
-        host, port = fleet.listen.split(":")
+        host, port = fleet.listen_address.split(":")
         idle = [await asyncio.open_connection(host, port) for _ in range(80)]
 
         async def closed():
             return sum(reader.at_eof() for reader, _ in idle) >= 48
 
         await wait_until(closed)
-        assert await fleet_has(fleet, "/nowhere/x", 404)
+        assert await responds_with(fleet, "/nowhere/x", 404)
         for _, writer in idle:
             writer.close()
 
 
-async def test_settings_are_taken_in_on_sighup(fleet, endpoint):
+async def test_settings_are_reloaded_on_sighup(fleet, endpoint):
     child = fleet.children["gateway"]
     child.signal(signal.SIGHUP)
     log = fleet.folder / "gateway.log"
@@ -358,27 +369,28 @@
 
     await wait_until(reloaded)
     assert child.is_running
-    assert await fleet.served()
+    assert await fleet.is_serving()
 
 
-async def test_a_wiped_host_is_replaced_without_an_operator(fleet, endpoint):
-    """An acknowledged change would be lost with the next disk.
+async def test_a_host_without_data_is_replaced_automatically(fleet, endpoint):
+    """A host that lost its disk becomes a voter again by itself.
 
-    One control host loses its disk and comes back empty. It becomes a voter
-    again by itself; then a second one loses its disk, and what was
-    acknowledged before is still read from every host.
+    Two hosts lose their disks, one after the other; the acknowledged
+    configuration is still read from every host.
     """
     for number in (0, 1):
         await fleet.put_config(config(10 + number), host=2)
-        old = await voter_at(fleet, number)
+        old = await voter_of_host(fleet, number)
         name = f"control-{number}"
         await fleet.children[name].kill()
         shutil.rmtree(fleet.folder / f"data-{number}")
-        fleet.write_control(number, fleet.hosts[number], first_start=False)
+        fleet.write_control_settings(
+            number, fleet.hosts[number], first_start=False
+        )
         await fleet.start(name)
 
         async def is_replaced(number=number, old=old):
-            new = await voter_at(fleet, number)
+            new = await voter_of_host(fleet, number)
             return new not in (None, old)
 
         await wait_until(is_replaced)
@@ -392,8 +404,8 @@
     await wait_until(all_hosts_agree)
 
 
-async def voter_at(fleet, number):
-    """Returns the only voter of a host once there are three voters."""
+async def voter_of_host(fleet, number):
+    """Returns the voter at a host, or None unless there are three voters."""
     url = f"http://{fleet.hosts[2]}:{fleet.peer_port}/control/v1/status"
     async with fleet.session.post(url, data=b"{}") as response:
         membership = (await response.json())["membership"]
--- a/tests/test_golden_sessions.py
+++ b/tests/test_golden_sessions.py
@@ -1,6 +1,6 @@
-"""Whole sessions, compared word for word with golden files.
+"""Sessions of requests, compared with golden files.
 
-UPDATE_GOLDEN=1 writes them anew; read the difference before committing it.
+UPDATE_GOLDEN=1 rewrites the files; review the difference before a commit.
 """
 
 import os
@@ -9,36 +9,36 @@
 
 import pytest
 import yaml
-from callers import OUTCOME, call
+from callers import OUTCOME_HEADER, call
 
 from marjoramyard.standin.local_fleet import start_small_fleet
 
 GOLDEN = Path(__file__).parent / "golden"
 SHOWN_HEADERS = (
     "Content-Type",
-    OUTCOME,
+    OUTCOME_HEADER,
     "X-Marjoramyard-Replayed",
     "Retry-After",
 )
-_NORMAL = [
+_VARIABLE_PARTS = [
     (re.compile(r"chat-[0-9a-f]{8}"), "chat-ID"),
     (re.compile(r'"retry_after":[0-9.]+'), '"retry_after":SECONDS'),
     (re.compile(r"Retry-After: \d+"), "Retry-After: SECONDS"),
 ]
 
 
-def transcript(step, answer):
+def transcript(step, response):
     lines = [f">>> {step['method']} {step['path']} ({step['workspace']})"]
     if "body" in step:
         lines.append(f">>> {step['body']}")
-    lines.append(f"<<< {answer.status}")
+    lines.append(f"<<< {response.status}")
     for name in SHOWN_HEADERS:
-        if name in answer.headers:
-            lines.append(f"<<< {name}: {answer.headers[name]}")
-    lines += [f"<<< {line}" for line in answer.text.splitlines() if line]
+        if name in response.headers:
+            lines.append(f"<<< {name}: {response.headers[name]}")
+    lines += [f"<<< {line}" for line in response.text.splitlines() if line]
     text = "\n".join(lines) + "\n\n"
-    for pattern, word in _NORMAL:
-        text = pattern.sub(word, text)
+    for pattern, placeholder in _VARIABLE_PARTS:
+        text = pattern.sub(placeholder, text)
     return text
 
 
@@ -53,7 +53,7 @@
         await fleet.wait_until_serving(step["join"])
         return f"--- {step['join']} joins\n\n"
     step.setdefault("workspace", "counter")
-    answer = await call(
+    response = await call(
         fleet,
         step["method"],
         step["path"],
@@ -61,17 +61,17 @@
         headers=step.get("headers", {}),
         data=step.get("body"),
     )
-    return transcript(step, answer)
+    return transcript(step, response)
 
 
 @pytest.mark.parametrize("name", ["serving", "refusals"])
 async def test_session(fleet, bundle, name):
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     steps = yaml.safe_load((GOLDEN / f"{name}.yaml").read_text())
-    seen = ""
+    actual = ""
     for step in steps:
-        seen += await run_step(fleet, step)
+        actual += await run_step(fleet, step)
     path = GOLDEN / f"{name}.txt"
     if os.environ.get("UPDATE_GOLDEN"):
-        path.write_text(seen)
-    assert seen == path.read_text()
+        path.write_text(actual)
+    assert actual == path.read_text()
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""A session of operators and auditors with marjoramctl."""
+"""Sessions of operators and auditors with marjoramctl."""
 
 import copy
 import datetime
@@ -12,10 +12,10 @@
 
 
 async def test_diff_roll_restore_and_audit(fleet, bundle):
-    """A share is raised, found wrong, and restored on purpose.
+    """A share is raised, then the previous bundle is restored.
 
-    The auditor sees what was in force at each moment, and that an altered
-    tool run leaves a meaningful exit code.
+    An old bundle must be restored explicitly, and the audit must return the
+    version in force at a given time.
     """
     await start_small_fleet(fleet, bundle, control=1, entries=1)
     await fleet.add_endpoint("chat-1", "engine", "chat")
@@ -50,7 +50,7 @@
     changes = await fleet.ctl_json("changes")
     assert [c["state"] for c in changes] == ["rolled"] * 3
     assert await fleet.ctl_json("suspects") == []
-    table = await human_table(fleet)
+    table = await workspace_table(fleet)
     assert table.splitlines()[0].split() == [
         "WORKSPACE",
         "SHARE",
@@ -59,7 +59,7 @@
     ]
 
 
-async def human_table(fleet):
+async def workspace_table(fleet):
     command = [
         str(BINARIES / "marjoramctl"),
         "--control",
@@ -73,7 +73,7 @@
     return output
 
 
-async def test_without_a_control_host_the_exit_code_says_so(fleet, bundle):
+async def test_without_a_control_host_the_exit_code_is_3(fleet, bundle):
     await fleet.make_keys()
     fleet.control_hosts = {"control-1": "127.0.0.1:9"}
     errors = await fleet.ctl("workspaces", code=3)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines costs two of them, not all."""
+"""A request that crashes engines is quarantined after two crashes."""
 
 import asyncio
 import itertools
@@ -11,13 +11,11 @@
 
 
 async def test_a_poison_request_costs_two_engines(fleet, bundle):
-    """One request kills each engine that runs it, and is sent again and
-    again through both entries, among innocent requests beside it.
+    """A request that kills its engine is sent repeatedly to both entries.
 
-    The first death can't be told from bad luck, so two engines is the
-    least that any rule can reach; then the request is refused everywhere,
-    also by an entry that is restarted. Innocent requests with no byte
-    delivered run again and end well.
+    One crash is no proof, so the request is quarantined after the second,
+    also at an entry that restarts later. Other requests on the killed
+    engines are retried and succeed.
     """
     await start_small_fleet(fleet, bundle)
     for name in ENGINES:
@@ -25,49 +23,51 @@
             name, "engine", "chat", "--slots", "4", "--token-seconds", "0.02"
         )
     await fleet.wait_until_serving(*ENGINES)
-    convicted = asyncio.Event()
-    innocent = []
+    quarantined = asyncio.Event()
+    normal_responses = []
 
-    async def innocents(number):
+    async def send_normal_requests(number):
         count = 0
-        while not convicted.is_set():
+        while not quarantined.is_set():
             count += 1
-            answer = await chat(
+            response = await chat(
                 fleet,
                 f"entry-{1 + number % 2}",
                 "guides",
-                content=f"innocent {number} {count}",
+                content=f"normal {number} {count}",
                 max_tokens=15,
             )
-            innocent.append(answer)
+            normal_responses.append(response)
 
-    async def attacker():
+    async def send_poison_requests():
         tries = itertools.count()
 
         async def refused():
             entry = f"entry-{1 + next(tries) % 2}"
-            answer = await chat(fleet, entry, crash=True)
-            assert answer.status != 200
-            return answer if "request_quarantined" in answer.text else None
+            response = await chat(fleet, entry, crash=True)
+            assert response.status != 200
+            return response if "request_quarantined" in response.text else None
 
-        answer = await wait_until(refused, "the request to be convicted")
-        assert answer.outcome == "not-run"
-        assert "Retry-After" in answer.headers
-        convicted.set()
+        response = await wait_until(refused, "the request to be quarantined")
+        assert response.outcome == "not-run"
+        assert "Retry-After" in response.headers
+        quarantined.set()
 
-    await asyncio.gather(attacker(), *(innocents(n) for n in range(8)))
-    lost = [n for n in ENGINES if not fleet.children[n].is_running]
-    assert len(lost) == 2
-    hurt = [a for a in innocent if a.status != 200]
-    assert [a.text for a in hurt] == []
+    await asyncio.gather(
+        send_poison_requests(), *(send_normal_requests(n) for n in range(8))
+    )
+    crashed = [n for n in ENGINES if not fleet.children[n].is_running]
+    assert len(crashed) == 2
+    failed = [a for a in normal_responses if a.status != 200]
+    assert [a.text for a in failed] == []
 
     await fleet.children["entry-1"].kill()
     await fleet.restart("entry-1")
     await fleet.wait_until_ready(fleet.entries["entry-1"])
 
-    async def refused_there():
-        answer = await chat(fleet, "entry-1", crash=True)
-        return "request_quarantined" in answer.text
+    async def is_refused():
+        response = await chat(fleet, "entry-1", crash=True)
+        return "request_quarantined" in response.text
 
-    assert await wait_until(refused_there, "the restarted entry to refuse it")
+    assert await wait_until(is_refused, "the restarted entry to refuse it")
     assert len([n for n in ENGINES if not fleet.children[n].is_running]) == 2
