--- a/packages/coordination/tests/governance/test_ledger_properties.py
+++ b/packages/coordination/tests/governance/test_ledger_properties.py
@@ -100,9 +100,11 @@
 def test_reusing_a_key_with_another_body_is_refused():
     ledger = Ledger({})
     ledger.start(KEY, DIGEST, "a", 0, 10)
-    assert ledger.look_up(KEY, "other").refusal.kind is Kind.KEY_REUSED
+    assert (
+        ledger.look_up(KEY, "other").refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
+    )
     view = ledger.start(KEY, "other", "b", 0, 10)
-    assert view.refusal.kind is Kind.KEY_REUSED
+    assert view.refusal.kind is Kind.IDEMPOTENCY_KEY_REUSED
 
 
 def test_a_full_ledger_refuses_new_calls_and_evicts_none():
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -8,14 +8,14 @@
 import msgspec
 from aiohttp import web
 
-from marjoramyard.coordination.serving.frames import KEEPALIVE, TailLostError
+from marjoramyard.coordination.serving.frames import KEEPALIVE, ReplayLostError
 from marjoramyard.fleet.agent.attempts import Attempt, AttemptState
 from marjoramyard.fleet.agent.calls import finish_call, start_call
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import CancelReply, OfferMessage, RunRequest
 from marjoramyard.fleet.paths import OFFER_PATH, RUN_HEADER, RUN_PATH
 from marjoramyard.fleet.refusals import quarantined
@@ -57,7 +57,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         control: ControlClient,
         endpoint: Endpoint,
         slots: SlotAllocator,
@@ -134,7 +134,7 @@
                 f"the endpoint here doesn't serve {run.service}",
             )
         fingerprint = Fingerprint(run.fingerprint)
-        seconds = self.membership.is_convicted(fingerprint)
+        seconds = self.membership.quarantine_seconds_left(fingerprint)
         if seconds is not None:
             raise FleetError(quarantined(seconds))
         held = False
@@ -194,7 +194,7 @@
     def _record_result(self, attempt: Attempt, reason: Failure | None) -> None:
         run = attempt.run_request
         if reason is None:
-            self.endpoint.prefixes.ran(run.prefix)
+            self.endpoint.prefixes.record_run(run.prefix)
         if attempt.held_suspect:
             fingerprint = Fingerprint(run.fingerprint)
             self.guard.release(fingerprint, clear=reason is None)
@@ -214,7 +214,7 @@
         if announced.incarnation != self.endpoint.announced.incarnation:
             return
         death_id = self.endpoint.mark_dead()
-        self.membership.announce_soon()
+        self.membership.announce_now()
         self.app.tasks.spawn(self.guard.report(death_id, running))
 
     # Resume and cancel.
@@ -261,16 +261,16 @@
             )
         if first < attempt.replay_buffer.first_kept:
             raise_failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 f"frame {first} is no longer buffered",
                 Outcome.UNKNOWN,
             )
         self.app.metrics.count("resumes")
         try:
             return await self._stream(request, attempt, first)
-        except TailLostError:
+        except ReplayLostError:
             raise_failure(
-                Kind.ANSWER_CUT,
+                Kind.RESPONSE_TRUNCATED,
                 "the next frame is no longer buffered",
                 Outcome.UNKNOWN,
             )
--- a/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/endpoint.py
@@ -7,7 +7,7 @@
 
 from marjoramyard.coordination.serving.prefixes import PrefixHistory
 from marjoramyard.coordination.serving.slots import SlotLimit
-from marjoramyard.fleet.messages import Announcement
+from marjoramyard.fleet.messages import EndpointAnnouncement
 from marjoramyard.kernel.logs import get_logger
 
 logger = get_logger(__name__)
@@ -31,13 +31,13 @@
 
     def __init__(self, max_slots: int):
         self.max_slots = max_slots
-        self.announced: Announcement | None = None
+        self.announced: EndpointAnnouncement | None = None
         self.last_announced_at = float("-inf")
         self.dead_incarnation = ""
         self.slots = SlotLimit(1)
         self.prefixes = PrefixHistory()
 
-    def on_announcement(self, announcement: Announcement) -> bool:
+    def on_announcement(self, announcement: EndpointAnnouncement) -> bool:
         """Applies an announcement.
 
         Returns:
@@ -57,9 +57,9 @@
             )
         self.announced = announcement
         self.last_announced_at = time.monotonic()
-        self.slots.announce(self._capped(announcement.slots))
+        self.slots.set_announced(self._capped(announcement.slots))
         if announcement.event_number >= 0:
-            self.prefixes.evicted(
+            self.prefixes.on_evictions(
                 announcement.event_number, announcement.evicted
             )
         return is_restart or before.state != announcement.state
--- a/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/suspects.py
@@ -10,7 +10,7 @@
     ReportDeath,
 )
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.refusals import quarantined
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.kernel.errors import Failure, Kind, failure
@@ -28,7 +28,10 @@
     """
 
     def __init__(
-        self, app: Application, membership: Membership, control: ControlClient
+        self,
+        app: Application,
+        membership: RouterMembership,
+        control: ControlClient,
     ):
         self.app = app
         self.membership = membership
@@ -60,7 +63,7 @@
         reply = await self.control.command(command, _HOLD_TIMEOUT_SECONDS)
         if isinstance(reply, Err) or not reply.ok_value.granted:
             self.held = None
-            seconds = self.membership.is_convicted(fingerprint)
+            seconds = self.membership.quarantine_seconds_left(fingerprint)
             return quarantined(seconds) if seconds else _held_apart()
         return None
 
@@ -95,7 +98,7 @@
 
 def _held_apart() -> Failure:
     return failure(
-        Kind.HELD_APART,
+        Kind.SUSPECT_HELD,
         "this request was running when an endpoint died; it is run again "
         "separately from other such requests",
         retry_after=random.uniform(0.5, 1.5),
--- a/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/fleet_routes.py
@@ -1,25 +1,29 @@
-"""The internal calls among self-forming control hosts and of gateways."""
+"""Internal HTTP routes for other control hosts and for gateways."""
 
 from aiohttp import web
 from result import Err, Result
 
 from marjoramyard.fleet import paths
-from marjoramyard.fleet.control.keeper import ClusterKeeper
+from marjoramyard.fleet.control.cluster_manager import ClusterManager
 from marjoramyard.fleet.control.service import FleetService
 from marjoramyard.fleet.messages import Empty
-from marjoramyard.fleet.syncing import Announce, PutConfig, SyncRequest
+from marjoramyard.fleet.sync_messages import (
+    HostAnnouncement,
+    PutConfig,
+    SyncRequest,
+)
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.errors import FleetError
 
 
 def fleet_routes(
-    keeper: ClusterKeeper, service: FleetService
+    cluster_manager: ClusterManager, service: FleetService
 ) -> list[web.RouteDef]:
-    """Returns the calls that a control host answers for the fleet."""
+    """Returns the routes of announcements, syncs and the configuration."""
 
     async def announce(request: web.Request) -> web.Response:
-        message = await read_message(request, Announce)
-        return json_response(keeper.on_announce(message))
+        message = await read_message(request, HostAnnouncement)
+        return json_response(cluster_manager.on_announce(message))
 
     async def sync(request: web.Request) -> web.Response:
         message = await read_message(request, SyncRequest)
@@ -27,10 +31,10 @@
 
     async def put_config(request: web.Request) -> web.Response:
         message = await read_message(request, PutConfig)
-        return _answer(await service.on_put(message))
+        return _result_response(await service.on_put_config(message))
 
     async def read_config(_: web.Request) -> web.Response:
-        return _answer(await service.on_read(Empty()))
+        return _result_response(await service.on_read_config(Empty()))
 
     return [
         web.post(paths.ANNOUNCE_PATH, announce),
@@ -40,7 +44,7 @@
     ]
 
 
-def _answer(done: Result) -> web.Response:
-    if isinstance(done, Err):
-        raise FleetError(done.err_value)
-    return json_response(done.ok_value)
+def _result_response(result: Result) -> web.Response:
+    if isinstance(result, Err):
+        raise FleetError(result.err_value)
+    return json_response(result.ok_value)
--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -15,7 +15,7 @@
 )
 from marjoramyard.coordination.governance.ledger import Ledger
 from marjoramyard.fleet.entry.requests import CallerRequest
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import CallTicket
 from marjoramyard.kernel.errors import (
     Failure,
@@ -50,7 +50,7 @@
 class Admission:
     """Checks HTTP requests and resolves their service and workspace."""
 
-    def __init__(self, membership: Membership, max_header_bytes: int):
+    def __init__(self, membership: RouterMembership, max_header_bytes: int):
         self.membership = membership
         self.max_header_bytes = max_header_bytes
 
@@ -246,7 +246,7 @@
     key = request.headers.get(IDEMPOTENCY_HEADER, "").strip()
     if not key:
         raise_failure(
-            Kind.KEY_REQUIRED,
+            Kind.IDEMPOTENCY_KEY_REQUIRED,
             "this call runs at most once, so it needs an Idempotency-Key "
             "header: a new value for a new call, the same for a resend",
         )
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -27,7 +27,7 @@
     ResponseDelivery,
     ResponseFailedError,
 )
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.refusals import quarantined
 from marjoramyard.fleet.util.control_client import ControlClient
@@ -38,21 +38,21 @@
     Outcome,
     failure,
 )
-from marjoramyard.kernel.ids import AttemptId, new_attempt
+from marjoramyard.kernel.ids import AttemptId, new_attempt_id
 
 _AGENT_REFUSALS = frozenset(
     {Kind.BUSY, Kind.LEAVING, Kind.NO_ENDPOINT, Kind.NO_LEASE, Kind.NOT_FOUND}
 )
 """Refusals that concern one agent only; another may accept the request."""
 _RETRYABLE = frozenset(
-    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.ANSWER_CUT}
+    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.RESPONSE_TRUNCATED}
 )
 
 
 class RetryBudgets:
     """The retry budgets of each workspace and each service."""
 
-    def __init__(self, membership: Membership):
+    def __init__(self, membership: RouterMembership):
         self.membership = membership
         self.budgets: dict[str, RetryBudget] = {}
 
@@ -94,7 +94,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         control: ControlClient,
         dispatchers: Dispatchers,
     ):
@@ -111,7 +111,7 @@
         Raises:
             FleetError: The request ended without a response.
         """
-        seconds = self.membership.is_convicted(request.fingerprint)
+        seconds = self.membership.quarantine_seconds_left(request.fingerprint)
         if seconds is not None:
             raise FleetError(quarantined(seconds))
         if request.call is not None:
@@ -225,7 +225,7 @@
         self, request: CallerRequest, placement: Placement
     ) -> RunRequest:
         return RunRequest(
-            new_attempt(),
+            new_attempt_id(),
             request.workspace_id,
             request.service_id,
             request.http.method,
@@ -256,7 +256,7 @@
         Raises:
             FleetError: The refusal applies to all agents.
         """
-        if reason.kind is Kind.HELD_APART:
+        if reason.kind is Kind.SUSPECT_HELD:
             # In the queue it would be granted slots that it can't use
             # while another suspect runs.
             request.suspect = True
@@ -381,7 +381,7 @@
 
 def _stalled() -> Failure:
     return failure(
-        Kind.ANSWER_CUT,
+        Kind.RESPONSE_TRUNCATED,
         "the caller read no data within the stall timeout",
         Outcome.UNKNOWN,
     )
@@ -389,7 +389,7 @@
 
 def _retry_budget_spent(reason: Failure) -> Failure:
     return failure(
-        Kind.RETRIES_SPENT,
+        Kind.RETRY_BUDGET_EXHAUSTED,
         f"{reason.message}; not retried because the retry budget is spent",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/tests/entry/test_admission.py
+++ b/packages/fleet/tests/entry/test_admission.py
@@ -84,7 +84,7 @@
     admission, _ = make()
     path = "/services/shop/anything"
     assert await refused(admission, request(Body([]), path)) is (
-        Kind.KEY_REQUIRED
+        Kind.IDEMPOTENCY_KEY_REQUIRED
     )
     incoming = request(Body([b"{}"]), path, Idempotency_Key="k")
     admitted = await admission.admit(incoming)
--- a/tests/soak/host_faults.py
+++ b/tests/soak/host_faults.py
@@ -48,8 +48,8 @@
 def setup(app) -> None:
     """Patches the storage and the clock of the control host."""
     path = path_of(Path(app.settings.data_folder))
-    append = storage.Storage.write
-    replace_file = storage.write_synced
+    append = storage.Storage.append
+    replace_file = storage.replace_file
     time_of_day = time.time
 
     def apply_faults() -> None:
@@ -66,6 +66,6 @@
         apply_faults()
         replace_file(*args)
 
-    storage.Storage.write = faulty_append
-    storage.write_synced = faulty_replace_file
+    storage.Storage.append = faulty_append
+    storage.replace_file = faulty_replace_file
     time.time = lambda: time_of_day() + read(path).clock_offset_seconds
