--- a/packages/fleet/src/marjoramyard/fleet/entry/admission.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/admission.py
@@ -63,7 +63,7 @@
         """Returns the admitted request.
 
         Raises:
-            FleetError: The request is refused; the kind gives the reason.
+            FleetError: The request is refused; the failure's kind says why.
         """
         refusal = self.membership.refusal()
         if refusal is not None:
--- a/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/attempt_client.py
@@ -25,10 +25,10 @@
 from marjoramyard.kernel.metrics import Metrics
 
 READ_TIMEOUT_SECONDS = 4.0
-"""Longer than the agent's keepalive interval."""
+"""Must exceed the agent's keepalive interval."""
 ADMIT_TIMEOUT_SECONDS = 4.0
 SLOW_ADMIT_TIMEOUT_SECONDS = 9.0
-"""For calls and suspects, which are admitted by the control hosts too."""
+"""For calls and suspects, which also need a reply of the control hosts."""
 MAX_RESUME_ATTEMPTS = 3
 _RESUME_TIMEOUT_SECONDS = 1.5
 _RESUME_DELAY_SECONDS = 0.3
--- a/packages/fleet/src/marjoramyard/fleet/entry/calls.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/calls.py
@@ -33,7 +33,7 @@
 
 
 class CallLedgerClient:
-    """Looks up calls before they are placed and cancels failed attempts."""
+    """Looks up calls before they are sent and cancels failed attempts."""
 
     def __init__(self, control: ControlClient):
         self.control = control
@@ -41,8 +41,7 @@
     async def look_up(self, request: CallerRequest) -> web.Response | None:
         """Returns the stored response of a resent call.
 
-        Returns None, and sets the ticket's epoch, if the call is to be
-        placed.
+        Returns None, and sets the ticket's epoch, if the call may be sent.
 
         Raises:
             FleetError: The call is running, or its outcome is unknown. The
--- a/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/dispatchers.py
@@ -1,4 +1,4 @@
-"""Queues the requests of each service and hands them to its agents."""
+"""Queues the requests of each service and offers them to its agents."""
 
 import asyncio
 import random
@@ -63,9 +63,9 @@
     """The state that a dispatcher keeps for one agent.
 
     Attributes:
-        in_flight: Attempts that this entry has running at the agent.
+        in_flight: Number of attempts of this entry at the agent.
         sequence: Number of the last offer that was sent.
-        offered: Workspaces of whose backlog the agent was notified.
+        offered: Workspaces whose backlog has been offered to the agent.
         free: Free slots, as last reported.
         entries: Number of entries that send offers to the agent.
         sending: An offer is being sent.
@@ -144,7 +144,7 @@
         ]
 
     def back_off(self, address: str) -> None:
-        """Sends an agent nothing for a while after it failed to respond."""
+        """Excludes an agent from `ready_agents` for the backoff time."""
         for view in self.agents.values():
             if view.row.address == address:
                 view.backoff_until = time.monotonic() + _AGENT_BACKOFF_SECONDS
@@ -163,8 +163,8 @@
         picked.sort(key=lambda view: view.in_flight / view.row.slots)
         return [Placement(view.row.address) for view in picked]
 
-    def count_run(self, address: str, change: int) -> None:
-        """Adds `change` to the count of attempts running at an agent."""
+    def adjust_in_flight(self, address: str, change: int) -> None:
+        """Adds `change` to the number of attempts in flight at an agent."""
         for view in self.agents.values():
             if view.row.address == address:
                 view.in_flight += change
@@ -228,8 +228,8 @@
     def retry_after(self) -> float:
         """Returns the estimated wait of a new request, with jitter.
 
-        It is in seconds, based on the queue's length and the recent rate of
-        grants.
+        It is in seconds, based on the length of the queue and the recent
+        rate of grants.
         """
         waiting = self.queue.count()
         seconds = waiting / self.dequeue_rate if self.dequeue_rate > 0 else 2.0
@@ -258,7 +258,10 @@
         return GrantReply(True, queue.count, head.prefix)
 
     def _clear_offered_if_empty(self, workspace: WorkspaceId) -> None:
-        """Lets the workspace's next backlog be offered once this one ended."""
+        """Forgets the offers of a workspace whose queue is empty.
+
+        Its next backlog is then offered again.
+        """
         if workspace not in self.queue.workspaces:
             for view in self.agents.values():
                 view.offered.discard(workspace)
@@ -289,8 +292,8 @@
         """Offers new backlogs to the free agents and to a few busy ones.
 
         The number of busy agents is limited to bound the control traffic.
-        The others receive the backlog with the next refresh. That a backlog
-        ended is learned from a refresh or from a grant that is not used.
+        The others receive the backlog with the next refresh. The end of a
+        backlog is reported by a refresh or in the reply to a grant.
         """
         self.flush_scheduled = False
         self.queue.changed.clear()
@@ -303,10 +306,10 @@
                 self._send_offer(view)
 
     def refresh(self, older_than: float) -> None:
-        """Sends the complete backlog to agents whose last one is too old.
+        """Repeats the complete offer to agents whose last one is too old.
 
         Args:
-            older_than: Age in seconds at which a full offer is repeated.
+            older_than: Age in seconds at which a complete offer is repeated.
         """
         now = time.monotonic()
         for view in self.ready_agents():
@@ -336,11 +339,11 @@
             view.sending = True
             self.app.tasks.spawn(self._send(view))
 
-    def _rows(self, known: set[WorkspaceId]) -> list[OfferRow]:
+    def _rows(self, excluded: set[WorkspaceId]) -> list[OfferRow]:
         now = time.monotonic()
         rows = []
         for workspace, queue in self.queue.workspaces.items():
-            if workspace in known:
+            if workspace in excluded:
                 continue
             head = queue.head(now)
             prefix = head.prefix if head is not None else ""
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -84,12 +84,12 @@
         return budget
 
     def on_request(self, request: CallerRequest) -> None:
-        """Credits both budgets with the configured part of a retry."""
+        """Credits both budgets with the configured fraction of a retry."""
         for budget in self._of(request):
             budget.on_request()
 
     def spend(self, request: CallerRequest) -> bool:
-        """Takes one retry from both budgets; returns False if one is empty."""
+        """Spends a retry of both budgets; returns False if one is exhausted."""
         budgets = self._of(request)
         if any(budget.tokens < 1.0 for budget in budgets):
             return False
@@ -167,7 +167,7 @@
         delivery = ResponseDelivery(
             request, self.app.settings.caller_stall_seconds
         )
-        dispatcher.count_run(placement.address, 1)
+        dispatcher.adjust_in_flight(placement.address, 1)
         try:
             async with aclosing(client.frames()) as frames:
                 response = await delivery.run(frames)
@@ -194,7 +194,7 @@
             self.app.tasks.spawn(client.cancel())
             raise
         finally:
-            dispatcher.count_run(placement.address, -1)
+            dispatcher.adjust_in_flight(placement.address, -1)
 
     def _check_may_run(
         self, request: CallerRequest, dispatcher: ServiceDispatcher
@@ -252,7 +252,7 @@
             request.call,
         )
 
-    # Outcomes other than a complete response.
+    # Failed attempts.
 
     async def _on_refusal(
         self,
@@ -261,7 +261,7 @@
         dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
-        """Lets the request go on to another agent.
+        """Returns if the request may be sent to another agent.
 
         Raises:
             FleetError: The refusal applies to all agents.
@@ -287,14 +287,14 @@
         delivery: ResponseDelivery,
         reason: Failure,
     ) -> web.StreamResponse | None:
-        """Decides after a lost or failed attempt.
+        """Decides whether a lost or failed attempt may be repeated.
 
         Returns:
             The aborted response if a part of it was delivered; None if
             another attempt may be made.
 
         Raises:
-            FleetError: The request ends with this failure.
+            FleetError: The request has failed.
         """
         if request.delivered:
             self.app.tasks.spawn(client.cancel())
@@ -325,12 +325,12 @@
     async def _on_failed_call(
         self, request: CallerRequest, client: AttemptClient, reason: Failure
     ) -> None:
-        """Decides after a failed attempt of a call that must not repeat.
+        """Decides whether a failed call may be attempted again.
 
         Returns None if another attempt may be made.
 
         Raises:
-            FleetError: The call ends, with the outcome that the ledger has.
+            FleetError: The call has failed, with the outcome in the ledger.
         """
         if reason.outcome == Outcome.NOT_RUN.value and client.admitted:
             # The ledger has the call as started, which is final, but the
@@ -375,8 +375,8 @@
 def _no_endpoint(request: CallerRequest) -> Failure:
     return failure(
         FailureKind.NO_ENDPOINT,
-        f"no endpoint of {request.service_id} has announced itself; come "
-        "back when one has",
+        f"no endpoint of {request.service_id} has announced itself; retry "
+        "when one has",
         retry_after=random.uniform(1.0, 3.0),
     )
 
@@ -400,6 +400,6 @@
 def _retry_budget_spent(reason: Failure) -> Failure:
     return failure(
         FailureKind.RETRY_BUDGET_EXHAUSTED,
-        f"{reason.message}; not retried because the retry budget is spent",
+        f"{reason.message}; not retried because the retry budget is exhausted",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/requests.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/requests.py
@@ -33,8 +33,8 @@
         path: The path and query for the endpoint.
         deadline_at: Monotonic time, in seconds.
         call: The ticket of a call that must not repeat, else None.
-        suspect: An endpoint was lost while the request ran.
-        delivered: A part of the response was sent to the caller.
+        suspect: Whether an endpoint was lost while the request ran.
+        delivered: Whether a part of the response was sent to the caller.
         arrived_at: Monotonic time, in seconds.
     """
 
@@ -54,7 +54,7 @@
 
     @property
     def request_class(self) -> RequestClass:
-        """The request's class, by the bundle's rules."""
+        """The request's class according to the bundle's rules."""
         return RequestClass(self.rule.request_class)
 
     @property
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -1,4 +1,4 @@
-"""Delivers a response to the caller, or aborts it visibly."""
+"""Delivers a response to the caller, or aborts it."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,7 +14,7 @@
 
 OUTCOME_HEADER = "X-Marjoramyard-Outcome"
 MAX_BUFFERED_BYTES = 1 << 20
-"""Up to this size a response that is no stream is buffered until its end, so
+"""Up to this size a response other than a stream is buffered until its end, so
 that a truncated one can be retried and the outcome header can be set."""
 
 
@@ -112,10 +112,10 @@
         return response
 
     async def abort(self, reason: Failure) -> None:
-        """Ends a response that has begun, so that it looks incomplete.
+        """Ends a response that has begun, so that it is seen to be incomplete.
 
         A stream gets an error event. The connection is closed without the
-        last chunk, as the caller would take the body for complete otherwise.
+        last chunk, which would mark the body as complete.
         """
         if is_stream(self.response_header.headers):
             body = msgspec.json.encode(FailureBody(reason))
--- a/packages/fleet/src/marjoramyard/fleet/entry/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/role.py
@@ -66,7 +66,7 @@
         self.dispatchers.set_agents(list(self.membership.agents.values()))
 
     def row(self) -> DirectoryRow:
-        """Returns this entry's directory row."""
+        """Returns the row that the entry announces to the control hosts."""
         settings = self.app.settings
         return DirectoryRow(
             self.app.incarnation,
@@ -95,13 +95,13 @@
         ]
 
     async def on_free(self, request: web.Request) -> web.Response:
-        """Handles an agent's message that it has free slots."""
+        """Applies an agent's report of free slots."""
         message = await read_message(request, FreeSlotsMessage)
         self.dispatchers.get(ServiceId(message.service)).on_free(message)
         return json_response(Empty())
 
     async def on_grant(self, request: web.Request) -> web.Response:
-        """Handles an agent's grant of a slot."""
+        """Replies whether an agent's grant of a slot is used."""
         message = await read_message(request, GrantMessage)
         dispatcher = self.dispatchers.get(ServiceId(message.service))
         if not self.membership.holds_lease():
@@ -109,7 +109,11 @@
         return json_response(dispatcher.on_grant(message))
 
     async def on_request(self, request: web.Request) -> web.StreamResponse:
-        """Handles a caller's request."""
+        """Admits a caller's request and returns the response.
+
+        Raises:
+            FleetError: The request is refused or has failed.
+        """
         if self.leaving:
             raise_failure(
                 FailureKind.LEAVING,
@@ -140,11 +144,11 @@
             self.metrics.record(admitted, outcome)
 
     def is_ready(self) -> bool:
-        """Returns whether load balancers may send requests here."""
+        """Returns whether load balancers may send requests to this entry."""
         return self.membership.holds_lease() and not self.leaving
 
     async def drain(self) -> None:
-        """Refuses new requests and waits until the active ones ended."""
+        """Refuses new requests and waits until the active ones have ended."""
         self.leaving = True
         self.membership.announce_now()
         while self.active:
