--- a/packages/coordination/src/marjoramyard/coordination/consensus/core.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/core.py
@@ -1,4 +1,4 @@
-"""The Raft core: takes ticks and messages, returns messages and writes."""
+"""The Raft core: processes ticks and messages, outputs messages and writes."""
 
 import msgspec
 
--- a/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/elections.py
@@ -25,7 +25,7 @@
 
         Args:
             pre: Whether this is a pre-vote.
-            transfer: Whether the leader asked for the election; voters then
+            transfer: Whether the leader requested the election; voters then
                 reply even while they are in contact with it.
         """
         self.leader = NO_REPLICA
--- a/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/messages.py
@@ -85,7 +85,7 @@
 
 
 class VoteRequest(msgspec.Struct, tag="vote", frozen=True):
-    """Requests a vote, or asks whether one would be granted (pre-vote)."""
+    """Requests a vote, or a pre-vote, which does not raise the term."""
 
     term: int
     last_index: int
--- a/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
+++ b/packages/coordination/src/marjoramyard/coordination/consensus/replica.py
@@ -86,9 +86,9 @@
         round: The current heartbeat round.
         round_requested: Whether another heartbeat round is to start as soon
             as the current one is confirmed.
-        outbox: Messages not yet taken by the driver.
+        outbox: Messages not yet given to the driver.
         written_hard_state: The hard state last given to the driver.
-        pending_snapshot: A received snapshot not yet taken by the driver.
+        pending_snapshot: A received snapshot not yet given to the driver.
         first_unwritten: The first index not yet given to the driver.
     """
 
--- a/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
+++ b/packages/coordination/src/marjoramyard/coordination/fairness/scheduler.py
@@ -266,7 +266,7 @@
         )
 
     def may_bypass_queue(self, workspace: WorkspaceId) -> bool:
-        """Returns whether the workspace may take a free slot directly.
+        """Returns whether the workspace may use a free slot without queueing.
 
         It may not if a workspace with a smaller virtual time is queued.
         """
--- a/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
+++ b/packages/coordination/src/marjoramyard/coordination/governance/ledger.py
@@ -91,7 +91,7 @@
         """Starts an attempt, or refuses it.
 
         A cancelled attempt has an outdated epoch, so it is refused however
-        late its agent asks, and whatever happened to later attempts.
+        late its start is requested, and whatever happened to later attempts.
         """
         entry = self.entries.get(key)
         if entry is None:
@@ -113,7 +113,7 @@
         return self._view(entry, _cancelled())
 
     def finish(
-        self, key: str, attempt: str, answer: StoredResponse
+        self, key: str, attempt: str, response: StoredResponse
     ) -> LedgerView:
         """Stores the response of the started attempt."""
         entry = self.entries.get(key)
@@ -121,7 +121,7 @@
             return LedgerView(refusal=_cancelled())
         if entry.state is CallState.STARTED:
             entry.state = CallState.DONE
-            entry.answer = answer
+            entry.answer = response
         return self._view(entry)
 
     def cancel(
--- a/packages/fleet/src/marjoramyard/fleet/application.py
+++ b/packages/fleet/src/marjoramyard/fleet/application.py
@@ -155,7 +155,7 @@
         incarnation: The unique id of this process.
         secret: The fleet's shared secret; "" if internal calls are not
             authenticated.
-        stopping: Set when the process has been told to stop.
+        stopping: Set when the process is to stop.
         role: The running role; None before it has started.
         tasks: Background tasks; they are cancelled at the end.
         client: The client for calls to other processes.
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -220,7 +220,7 @@
             address = None
         reason = failure(
             FailureKind.NOT_LEADER,
-            "this control host does not lead; ask the leader named here",
+            "this control host is not the leader; use the leader named here",
             retry_after=MAX_ELECTION_SECONDS,
         )
         return msgspec.structs.replace(reason, leader=address)
--- a/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/renewal_server.py
@@ -147,7 +147,7 @@
         """Returns the wait in seconds of a router that has no changes to get.
 
         Args:
-            requested: The wait that the router asks for, in seconds.
+            requested: The wait that the router requests, in seconds.
         """
         needed = len(self.waiters) * _WAIT_SECONDS_PER_ROUTER
         return min(requested, MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, needed))
--- a/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/upstream.py
@@ -8,8 +8,8 @@
 from aiohttp.client_proto import ResponseHandler
 
 IDLE_SECONDS = 3.0
-"""Keep-alive timeout. Shorter than that of endpoints: a request that meets a
-close can't be told from one that ran."""
+"""Keep-alive timeout. Shorter than that of endpoints: a request sent while the
+endpoint closes the connection cannot be distinguished from one that ran."""
 CONNECT_SECONDS = 0.5
 """Connect timeout. After it the request has not run and may be sent to another
 endpoint."""
@@ -23,7 +23,7 @@
         """Whether the connection may be reused.
 
         A faulty endpoint may send bytes after a complete response. They can
-        arrive while the connection is in the pool and would be taken for the
+        arrive while the connection is in the pool and would be mistaken for the
         response to the next request.
         """
         return super().is_connected() and not self.should_close
