--- a/packages/fleet/tests/agent/test_attempt_service.py
+++ b/packages/fleet/tests/agent/test_attempt_service.py
@@ -98,7 +98,7 @@
             Ok(
                 Reply(
                     call=LedgerView(
-                        refusal=failure(FailureKind.CANCELLED, "given up")
+                        refusal=failure(FailureKind.CANCELLED, "cancelled")
                     )
                 )
             ),
--- a/packages/fleet/tests/entry/test_request_handler.py
+++ b/packages/fleet/tests/entry/test_request_handler.py
@@ -34,7 +34,7 @@
 
 
 def lost(outcome):
-    return failure(FailureKind.ENDPOINT_LOST, "gone", outcome)
+    return failure(FailureKind.ENDPOINT_LOST, "lost", outcome)
 
 
 @pytest.mark.parametrize(
