--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -77,8 +77,8 @@
             name = f"shared {interval:g}s reserve {reserve:g}"
             rows[name] = measure(SharedTotals, changed)
     policy = with_reserve(scenario.policy, 0.5)
-    calm = dataclasses.replace(scenario, overload=False, policy=policy)
-    rows["shared 0.5s, no flood"] = measure(SharedTotals, calm)
+    no_overload = dataclasses.replace(scenario, overload=False, policy=policy)
+    rows["shared 0.5s, no flood"] = measure(SharedTotals, no_overload)
     for model, row in rows.items():
         show(scenario.name, model, row)
     print(f"{scenario.name:<22} bound (0.5 s) {gap_bound(scenario):.0f}")
--- a/bench/rollout_latency.py
+++ b/bench/rollout_latency.py
@@ -33,7 +33,7 @@
 
 
 async def kill_leader(fleet, operator, number: int) -> float:
-    """Kills the leader; returns the seconds until a change is accepted_at."""
+    """Kills the leader; returns the seconds until a change is accepted."""
     name = await leader_name(fleet)
     await fleet.children[name].kill()
     started = time.monotonic()
--- a/packages/standin/src/marjoramyard/standin/experiment/engine_memory.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/engine_memory.py
@@ -18,7 +18,7 @@
             first.
         pin_counts: Number of requests that use a part, by digest.
         cached_tokens: Tokens of all cached parts.
-        active_tokens: Tokens of active requests beside their shared parts.
+        active_tokens: Tokens of active requests without their shared parts.
     """
 
     def __init__(self, capacity: float):
--- a/packages/standin/src/marjoramyard/standin/experiment/engine_model.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/engine_model.py
@@ -58,7 +58,7 @@
         remaining_prefill: Prompt tokens that are not prefilled yet.
         context: Prompt tokens prefilled or cached, and generated tokens.
         generated_tokens: Tokens generated so far.
-        own_tokens: Memory occupied beside the shared parts, in tokens.
+        own_tokens: Memory in addition to the shared parts, in tokens.
     """
 
     def __init__(
--- a/packages/standin/src/marjoramyard/standin/experiment/simulation.py
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation.py
@@ -32,7 +32,7 @@
 from marjoramyard.standin.experiment.workloads import Request, Workload
 
 CALLER_HOP_MS = 1.0
-"""One-latency_ms latency between a caller and its gateway."""
+"""One-way latency between a caller and its gateway."""
 GATEWAY_PROCESSING_MS = 1.0
 """Time that a gateway spends on a request before it asks the broker."""
 DISPATCH_INTERVAL_MS = 100.0
