--- a/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempt_service.py
@@ -15,7 +15,7 @@
 from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.agent.suspects import SuspectGuard
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import CancelReply, OfferMessage, RunRequest
 from marjoramyard.fleet.paths import OFFER_PATH, RUN_HEADER, RUN_PATH
 from marjoramyard.fleet.refusals import quarantined
@@ -57,7 +57,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         control: ControlClient,
         endpoint: Endpoint,
         slots: SlotAllocator,
@@ -134,7 +134,7 @@
                 f"the endpoint here doesn't serve {run.service}",
             )
         fingerprint = Fingerprint(run.fingerprint)
-        seconds = self.membership.is_convicted(fingerprint)
+        seconds = self.membership.quarantine_seconds_left(fingerprint)
         if seconds is not None:
             raise FleetError(quarantined(seconds))
         held = False
@@ -214,7 +214,7 @@
         if announced.incarnation != self.endpoint.announced.incarnation:
             return
         death_id = self.endpoint.mark_dead()
-        self.membership.announce_soon()
+        self.membership.announce_now()
         self.app.tasks.spawn(self.guard.report(death_id, running))
 
     # Resume and cancel.
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -12,8 +12,8 @@
 from marjoramyard.fleet.agent.orders import OrderForwarder
 from marjoramyard.fleet.agent.slot_allocator import SlotAllocator
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
-from marjoramyard.fleet.messages import Announcement, Empty
+from marjoramyard.fleet.membership import RouterMembership
+from marjoramyard.fleet.messages import Empty, EndpointAnnouncement
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.fleet.util.rpc import json_response, read_message
 from marjoramyard.kernel.logs import get_logger
@@ -32,7 +32,7 @@
         self.leaving = False
         self.endpoint = Endpoint(app.settings.max_slots)
         self.control = ControlClient(app.client, app.settings.control_hosts)
-        self.membership = Membership(
+        self.membership = RouterMembership(
             self.control, app.metrics, self.row, keeps_keys=False
         )
         self.slots = SlotAllocator(
@@ -83,7 +83,7 @@
             if self.endpoint.is_ready != was_ready:
                 was_ready = not was_ready
                 logger.info("endpoint_ready", ready=was_ready)
-                self.membership.announce_soon()
+                self.membership.announce_now()
 
     def endpoint_routes(self) -> list[web.RouteDef]:
         """Returns the routes for the endpoint."""
@@ -91,10 +91,10 @@
 
     async def on_announce(self, request: web.Request) -> web.Response:
         """Handles the endpoint's announcement."""
-        announcement = await read_message(request, Announcement)
+        announcement = await read_message(request, EndpointAnnouncement)
         if self.endpoint.on_announcement(announcement):
             self.order_forwarder.wake.set()
-            self.membership.announce_soon()
+            self.membership.announce_now()
         self.slots.grant_free_slots()
         return json_response(Empty())
 
@@ -109,7 +109,7 @@
         as an exit would truncate its response.
         """
         self.leaving = True
-        self.membership.announce_soon()
+        self.membership.announce_now()
         while self.slots.running or any(
             attempt.reader is not None
             for attempt in self.attempt_service.attempts.values()
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -17,10 +17,10 @@
 from marjoramyard.coordination.fairness.totals import Totals, TotalsSync
 from marjoramyard.fleet.agent.endpoint import Endpoint
 from marjoramyard.fleet.application import Application
-from marjoramyard.fleet.membership import Membership
+from marjoramyard.fleet.membership import RouterMembership
 from marjoramyard.fleet.messages import (
     Empty,
-    FreeMessage,
+    FreeSlotsMessage,
     GrantMessage,
     GrantReply,
     OfferMessage,
@@ -74,7 +74,7 @@
     def __init__(
         self,
         app: Application,
-        membership: Membership,
+        membership: RouterMembership,
         endpoint: Endpoint,
         is_leaving: Callable[[], bool],
     ):
@@ -240,7 +240,7 @@
         slot could be idle until the next refresh.
         """
         service = self.endpoint.announced.service
-        message = FreeMessage(self.app.incarnation, service, self.free)
+        message = FreeSlotsMessage(self.app.incarnation, service, self.free)
         for entry in self.reported_busy_to:
             address = self.addresses.get(entry, "")
             self.app.tasks.spawn(
--- /dev/null
+++ b/packages/fleet/src/marjoramyard/fleet/sync_messages.py
@@ -0,0 +1,125 @@
+"""Message types between self-forming control hosts and to gateways."""
+
+import msgspec
+
+from marjoramyard.coordination.governance.commands import ConfigDocument
+from marjoramyard.coordination.membership.registrations import Registration
+
+
+class ControlHost(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The description of a control host.
+
+    Attributes:
+        name: The name of the host.
+        address: Its internal address.
+        public_address: Its address for endpoints and operators.
+        zone: Its availability zone.
+        replica: The replica of its data folder, or the id of a new one if
+            the folder is empty; "" without a disk.
+        cluster: The cluster that its replica belongs to; "" for none.
+        first_start: Whether the complete fleet starts for the first time.
+        entries: The last index of its log.
+    """
+
+    name: str
+    address: str
+    public_address: str
+    zone: str = ""
+    replica: str = ""
+    cluster: str = ""
+    first_start: bool = False
+    entries: int = 0
+
+
+class HostAnnouncement(msgspec.Struct, frozen=True):
+    """A control host announces itself and registrations to another one.
+
+    Attributes:
+        words: Registrations received since the last announcement to the
+            receiver.
+    """
+
+    host: ControlHost
+    words: list[Registration] = []
+
+
+class HostAnnouncementReply(msgspec.Struct, frozen=True):
+    """The reply of the receiving host.
+
+    Attributes:
+        host: The receiver.
+        addresses: Internal addresses of the control hosts that it knows.
+        leader: The leader's internal address; "" if unknown.
+    """
+
+    host: ControlHost
+    addresses: list[str]
+    leader: str = ""
+
+
+class SyncRequest(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A gateway requests changes from a control host.
+
+    Attributes:
+        gateway: The gateway's incarnation.
+        version: The version of its configuration.
+        epoch: The registration table that `cursor` counts in.
+        cursor: The last change of that table that it has applied.
+        wait_seconds: How long the reply may wait for changes.
+        name: The gateway's name.
+        address: Its internal address.
+        capacity: Processor cores that it can spare for brokering; 0 if it
+            must not be a broker.
+    """
+
+    gateway: str
+    version: int = 0
+    epoch: str = ""
+    cursor: int = 0
+    wait_seconds: float = 0.0
+    name: str = ""
+    address: str = ""
+    capacity: float = 0.0
+
+
+class SyncReply(msgspec.Struct, omit_defaults=True):
+    """Changes since a gateway's state.
+
+    Attributes:
+        epoch: The registration table that `cursor` counts in.
+        cursor: The last change of that table.
+        confirmed: Whether a quorum has confirmed the responder's leadership
+            after the request arrived. No newer configuration had been
+            acknowledged by then.
+        version: The version of the responder's configuration; 0 for none.
+        config: The newest configuration, if the gateway has an older one.
+        words: Registrations that changed after the cursor.
+        silent: Endpoints that are unresponsive.
+        addresses: Internal addresses of the control hosts.
+        gateways: The number of gateways that synchronise with this host.
+        brokers: Internal addresses of the gateways chosen as brokers, in
+            order of preference; only from a confirmed leader.
+    """
+
+    epoch: str
+    cursor: int
+    confirmed: bool = False
+    version: int = 0
+    config: ConfigDocument | None = None
+    words: list[Registration] = []
+    silent: list[str] = []
+    addresses: list[str] = []
+    gateways: int = 1
+    brokers: list[str] = []
+
+
+class PutConfig(msgspec.Struct, frozen=True):
+    """Sends a validated configuration to the leader."""
+
+    document: ConfigDocument
+
+
+class StoredConfig(msgspec.Struct, frozen=True):
+    """The newest configuration; None before the first one."""
+
+    document: ConfigDocument | None = None
