--- a/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
+++ b/packages/coordination/src/marjoramyard/coordination/placement/engine_pool.py
@@ -21,7 +21,7 @@
 
     Attributes:
         profile: The properties shared by all engines.
-        rate: The configured prefill rate of an engine, in tokens per ms.
+        rate: The initial prefill rate of an engine, in tokens per ms.
         engines: The engines, by endpoint.
         in_flight: Requests that engines have, by key.
         lagging_routers: Routers that send requests and reports with delay.
@@ -78,7 +78,7 @@
         Args:
             key: The request.
             now: When the report arrived.
-            is_timely: Whether the report arrived without delay, so that it
+            is_timely: Whether the router is not lagging, so that the report
                 may be used to estimate the engine's rate.
         """
         request = self.in_flight.get(key)
@@ -146,12 +146,12 @@
             self.lagging_routers.discard(router)
 
     def finish_expected_prefills(self, now: float) -> None:
-        """Marks due prompts of lagging routers as prefilled."""
+        """Marks prompts of lagging routers as prefilled when expected."""
         for engine in self.engines.values():
             for key, request in list(engine.prefilling.items()):
                 if (
                     request.router in self.lagging_routers
-                    and now >= request.prefill_due_at
+                    and now >= request.expected_first_token_at
                 ):
                     self._mark_prefilled(engine, key, request, now)
 
@@ -175,10 +175,10 @@
         engine.running += 1
         engine.used_memory_tokens += request.memory_tokens
         is_timely = request.router not in self.lagging_routers
-        engine.start_prefill(
+        engine.add_prefill(
             request.prefill_tokens, request.granted_at, is_timely
         )
-        request.prefill_due_at = (
+        request.expected_first_token_at = (
             request.granted_at + engine.wait_ms + FIRST_TOKEN_LATENCY_MS
         )
         engine.prefix_cache.evict_to(
--- a/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/attempts.py
@@ -14,14 +14,14 @@
 from marjoramyard.fleet.agent.meters import METERS
 from marjoramyard.fleet.messages import RunRequest
 from marjoramyard.fleet.util.headers import end_to_end, is_stream
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 from marjoramyard.kernel.ids import WorkspaceId
 
 ORPHAN_TIMEOUT_SECONDS = 5.0
-"""How long an attempt continues without a connection from its entry."""
+"""How long an attempt may run without a connection from its entry."""
 STREAM_END = b"[DONE]"
 MAX_ENGINE_RESUMES = 3
-"""Resumes in a row without an event in between."""
+"""Consecutive resumes without an event in between."""
 HTTP_OK = 200
 _CONNECT_TIMEOUT_SECONDS = 2.0
 _STREAM_TAIL_BYTES = 64
@@ -59,8 +59,8 @@
         stream_tail: The last bytes of the response.
         resume_path: Where the engine's stream can be resumed, or "".
         resumes: How often the engine's stream was resumed.
-        held_suspect: The request is a suspect, and the agent has a hold
-            for it.
+        held_suspect: The request is a suspect, and the agent has been
+            granted a hold for it.
         is_delivered: The last frame was written to an entry.
     """
 
@@ -103,7 +103,7 @@
         """The workspace of the request."""
         return WorkspaceId(self.run_request.workspace)
 
-    # Towards the endpoint.
+    # Exchange with the endpoint.
 
     async def execute(self, session: aiohttp.ClientSession) -> Failure | None:
         """Sends the request and reads the response.
@@ -119,7 +119,7 @@
                 return await self._exchange(session)
         except TimeoutError:
             return failure(
-                Kind.DEADLINE,
+                FailureKind.DEADLINE,
                 "the deadline passed while the request ran; retry with a "
                 "later one",
                 Outcome.UNKNOWN,
@@ -128,7 +128,9 @@
             if not self.cancelled:
                 raise
             return failure(
-                Kind.CANCELLED, "the caller disconnected", Outcome.UNKNOWN
+                FailureKind.CANCELLED,
+                "the caller disconnected",
+                Outcome.UNKNOWN,
             )
         finally:
             self.meter.end()
@@ -160,17 +162,17 @@
         except aiohttp.ClientConnectorError:
             self.state = AttemptState.ADMITTED
             return failure(
-                Kind.ENDPOINT_LOST, "connection to the endpoint failed"
+                FailureKind.ENDPOINT_LOST, "connection to the endpoint failed"
             )
         except aiohttp.ServerTimeoutError:
             return failure(
-                Kind.ENDPOINT_STALLED,
+                FailureKind.ENDPOINT_STALLED,
                 f"the endpoint sent no data for {run.stall_seconds:g} s",
                 Outcome.UNKNOWN,
             )
         except (aiohttp.ClientError, OSError) as error:
             return failure(
-                Kind.ENDPOINT_LOST,
+                FailureKind.ENDPOINT_LOST,
                 f"connection to the endpoint lost: {error!r}",
                 Outcome.UNKNOWN,
             )
@@ -264,7 +266,7 @@
         if tokens:
             if self.last_token_at is not None:
                 gap = (now - self.last_token_at) / tokens
-                self.endpoint.slots.record_gap(gap)
+                self.endpoint.slot_limit.record_gap(gap)
             self.last_token_at = now
         if self.run_request.call is not None:
             self.response_body += chunk
@@ -278,11 +280,11 @@
     def _check_complete(self) -> Failure | None:
         """Returns a failure if a stream has ended without its last event.
 
-        An engine that aborts a response may still end its body regularly.
+        An engine that aborts a response may still end its HTTP body normally.
         """
         if is_stream(self.headers) and STREAM_END not in self.stream_tail:
             return failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 "the endpoint ended the stream without its last event",
                 Outcome.UNKNOWN,
             )
@@ -294,7 +296,7 @@
         if self.task is not None:
             self.task.cancel()
 
-    # Towards the entry.
+    # Delivery to the entry.
 
     def finish(self, reason: Failure | None) -> None:
         """Adds the last frame: the end, or the failure if there is one."""
@@ -315,7 +317,7 @@
         """Writes frames from number `first` on until the last one.
 
         One connection reads at a time. A resume replaces the previous one,
-        which may still seem open here.
+        which may still appear to be open.
 
         Args:
             first: The number of the first frame.
@@ -331,10 +333,10 @@
                 if frames:
                     # One write for all frames saves system calls.
                     await write(b"".join(frame.encode() for frame in frames))
-                    number = frames[-1].head.n + 1
+                    number = frames[-1].header.n + 1
                     self.replay_buffer.mark_sent(number)
                     self.space_available.set()
-                    if frames[-1].head.is_last:
+                    if frames[-1].header.is_last:
                         self.is_delivered = True
                         return
                     continue
@@ -350,7 +352,7 @@
                 self.orphaned_at = time.monotonic()
 
     def is_orphan(self, now: float) -> bool:
-        """Returns whether its entry did not reconnect within the timeout."""
+        """Returns whether the entry has not reconnected within the timeout."""
         if self.reader is not None:
             return False
         return now - self.orphaned_at > ORPHAN_TIMEOUT_SECONDS
--- a/packages/fleet/src/marjoramyard/fleet/agent/role.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/role.py
@@ -25,7 +25,11 @@
 
 
 class AgentRole:
-    """One agent; all requests to its endpoint pass through it."""
+    """The agent of one endpoint.
+
+    Entries send their requests to the endpoint through its agent; gateways
+    send theirs to the endpoint directly.
+    """
 
     def __init__(self, app: Application):
         self.app = app
@@ -33,19 +37,26 @@
         self.endpoint = Endpoint(app.settings.max_slots)
         self.control = ControlClient(app.client, app.settings.control_hosts)
         self.membership = RouterMembership(
-            self.control, app.metrics, self.row, keeps_keys=False
+            self.control, app.metrics, self.row, keeps_api_keys=False
         )
-        self.slots = SlotAllocator(
+        self.slot_allocator = SlotAllocator(
             app, self.membership, self.endpoint, lambda: self.leaving
         )
         self.attempt_service = AttemptService(
-            app, self.membership, self.control, self.endpoint, self.slots
+            app,
+            self.membership,
+            self.control,
+            self.endpoint,
+            self.slot_allocator,
         )
         self.order_forwarder = OrderForwarder(app, self.endpoint)
-        self.membership.on_order.append(self.order_forwarder.on_order)
+        self.membership.order_listeners.append(self.order_forwarder.on_order)
 
     def row(self) -> DirectoryRow:
-        """Returns this agent's directory row."""
+        """Returns the row that the agent announces to the control hosts.
+
+        Its state is "down" while the endpoint is not ready.
+        """
         settings, announced = self.app.settings, self.endpoint.announced
         state = "ready" if self.endpoint.is_ready else "down"
         if self.leaving or (
@@ -59,7 +70,7 @@
             settings.advertised_address,
             announced.service if announced else "",
             state,
-            self.endpoint.slots.limit if announced else 0,
+            self.endpoint.slot_limit.limit if announced else 0,
             announced.name if announced else "",
             announced.checks_fencing if announced else False,
         )
@@ -68,15 +79,15 @@
         """Starts the background tasks."""
         for coroutine in (
             self.membership.run(),
-            self.slots.maintain(),
+            self.slot_allocator.maintain(),
             self.attempt_service.sweep(),
-            self.order_forwarder.run(self.attempt_service.session),
+            self.order_forwarder.run(self.attempt_service.http_session),
             self._watch_endpoint(),
         ):
             self.app.tasks.spawn(coroutine)
 
     async def _watch_endpoint(self) -> None:
-        """Updates the directory when the endpoint's readiness changes."""
+        """Announces the row when the endpoint's readiness changes."""
         was_ready = False
         while True:
             await asyncio.sleep(_WATCH_INTERVAL_SECONDS)
@@ -90,27 +101,32 @@
         return [web.post("/announce", self.on_announce)]
 
     async def on_announce(self, request: web.Request) -> web.Response:
-        """Handles the endpoint's announcement."""
+        """Applies an announcement of the endpoint to its agent.
+
+        If the endpoint restarted or changed its state, the order forwarder
+        is woken and the agent's row is announced to the control hosts.
+        Slots are granted as the limit may have grown.
+        """
         announcement = await read_message(request, EndpointAnnouncement)
         if self.endpoint.on_announcement(announcement):
             self.order_forwarder.wake.set()
             self.membership.announce_now()
-        self.slots.grant_free_slots()
+        self.slot_allocator.grant_free_slots()
         return json_response(Empty())
 
     def is_ready(self) -> bool:
-        """Returns whether new work may start here."""
-        return self.slots.accepts_work()
+        """Returns whether the agent accepts attempts."""
+        return self.slot_allocator.accepts_work()
 
     async def drain(self) -> None:
-        """Refuses new work and waits until no attempt runs or is read.
+        """Refuses new attempts and waits until the last one is delivered.
 
-        An ended attempt whose frames an entry is still reading counts too,
-        as an exit would truncate its response.
+        All attempts have then ended, and no entry is reading their frames;
+        an earlier exit would truncate a response.
         """
         self.leaving = True
         self.membership.announce_now()
-        while self.slots.running or any(
+        while self.slot_allocator.running or any(
             attempt.reader is not None
             for attempt in self.attempt_service.attempts.values()
         ):
--- a/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
+++ b/packages/fleet/src/marjoramyard/fleet/agent/slot_allocator.py
@@ -27,7 +27,7 @@
     OfferReply,
 )
 from marjoramyard.fleet.paths import FREE_PATH, GRANT_PATH
-from marjoramyard.kernel.errors import Failure, Kind, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, failure
 from marjoramyard.kernel.ids import Incarnation, WorkspaceId, Zone
 from marjoramyard.kernel.logs import get_logger
 
@@ -61,7 +61,7 @@
     next workspace is chosen at once.
 
     Attributes:
-        links: The exchange of totals with each entry.
+        totals_syncs: The exchange of totals with each entry.
         addresses: The entries' addresses.
         reported_busy_to: Entries that were last sent a count of 0 free slots.
         grants: The grants that are not used yet, by id.
@@ -89,7 +89,7 @@
             self._share_of,
             membership.bundle.policy.fairness(),
         )
-        self.links: dict[str, TotalsSync] = {}
+        self.totals_syncs: dict[str, TotalsSync] = {}
         self.addresses: dict[str, str] = {}
         self.reported_busy_to: set[str] = set()
         self.grants: dict[str, Grant] = {}
@@ -97,17 +97,17 @@
         self.busy_seconds = 0.0
         self.idle_while_waiting = 0.0
         self.accounted_until = time.monotonic()
-        membership.on_bundle.append(self._on_bundle)
+        membership.bundle_listeners.append(self._on_bundle)
         self._register_gauges()
 
     def _share_of(self, workspace: WorkspaceId) -> float:
-        known = self.membership.bundle.workspaces.get(workspace)
-        return known.share if known is not None else 1.0
+        row = self.membership.bundle.workspaces.get(workspace)
+        return row.share if row is not None else 1.0
 
     def _on_bundle(self) -> None:
         policy = self.membership.bundle.policy
         self.scheduler.policy = policy.fairness()
-        self.totals.step = policy.totals_step
+        self.totals.publish_threshold = policy.totals_step
         self.grant_free_slots()
 
     def _register_gauges(self) -> None:
@@ -115,10 +115,10 @@
         metrics.gauge(
             "fairness_gap", lambda: [(self.scheduler.virtual_time_gap(), {})]
         )
-        metrics.gauge("slots", self._slot_numbers)
+        metrics.gauge("slots", self._slot_samples)
         metrics.gauge("utilisation", lambda: [(self.utilisation(), {})])
 
-    def _slot_numbers(self) -> list[tuple[float, dict[str, str]]]:
+    def _slot_samples(self) -> list[tuple[float, dict[str, str]]]:
         return [
             (self.running, {"state": "running"}),
             (len(self.grants), {"state": "granted"}),
@@ -132,7 +132,7 @@
     @property
     def free(self) -> int:
         """The number of slots that are neither running nor granted."""
-        limit = self.endpoint.slots.limit
+        limit = self.endpoint.slot_limit.limit
         return max(0, limit - self.running - len(self.grants))
 
     def _update_usage(self) -> None:
@@ -142,18 +142,18 @@
         self.busy_seconds += elapsed * self.running
         if self.scheduler.has_waiting() and self.endpoint.is_ready:
             # A granted slot counts as idle until its attempt starts.
-            idle = max(0, self.endpoint.slots.limit - self.running)
+            idle = max(0, self.endpoint.slot_limit.limit - self.running)
             waiting = self.scheduler.waiting_count() + len(self.grants)
             self.idle_while_waiting += elapsed * min(idle, waiting)
 
     def utilisation(self) -> float:
-        """Returns the busy part, from 0 to 1, of the time with demand."""
+        """Returns the busy fraction of the slot time with demand, 0 to 1."""
         self._update_usage()
-        possible = self.busy_seconds + self.idle_while_waiting
-        return self.busy_seconds / possible if possible else 1.0
+        demand = self.busy_seconds + self.idle_while_waiting
+        return self.busy_seconds / demand if demand else 1.0
 
     def accepts_work(self) -> bool:
-        """Returns whether new work may start here."""
+        """Returns whether new attempts may start at the endpoint."""
         return (
             self.endpoint.is_ready
             and not self.is_leaving()
@@ -162,20 +162,20 @@
 
     # Messages from entries.
 
-    def link(self, entry: str) -> TotalsSync:
-        """Returns the exchange of totals with an entry."""
-        if entry not in self.links:
-            self.links[entry] = TotalsSync(self.totals)
-        return self.links[entry]
+    def _totals_sync(self, entry: str) -> TotalsSync:
+        """Returns the exchange with an entry; creates it if needed."""
+        if entry not in self.totals_syncs:
+            self.totals_syncs[entry] = TotalsSync(self.totals)
+        return self.totals_syncs[entry]
 
     def on_offer(self, message: OfferMessage) -> OfferReply:
         """Applies an entry's offer of queued requests."""
         entry = Incarnation(message.entry)
-        link = self.link(entry)
+        totals_sync = self._totals_sync(entry)
         if message.totals is not None:
             # A restarted agent needs the totals before it chooses among the
             # offers.
-            link.apply_delta(message.totals)
+            totals_sync.apply_delta(message.totals)
         self.addresses[entry] = message.address
         now = time.monotonic()
         self._update_usage()
@@ -191,14 +191,16 @@
         self.grant_free_slots()
         if self.free == 0:
             self.reported_busy_to.add(entry)
-        totals = link.make_delta() if message.totals is not None else None
+        totals = (
+            totals_sync.make_delta() if message.totals is not None else None
+        )
         return OfferReply(
             self.free, len(self.addresses), totals, self.is_leaving()
         )
 
     def remove_entry(self, entry: str) -> None:
         """Removes the state of an entry that left or timed out."""
-        self.links.pop(entry, None)
+        self.totals_syncs.pop(entry, None)
         self.addresses.pop(entry, None)
         self.reported_busy_to.discard(entry)
 
@@ -285,8 +287,8 @@
                 time.monotonic() + _GRANT_USE_TIMEOUT_SECONDS
             )
         if reply.left and choice.entry in self.scheduler.entries:
-            # The reply is newer than the offer, so the next slot needn't
-            # wait for a refresh.
+            # The reply is newer than the offer, so the next slot can be
+            # granted without waiting for a refresh.
             row = OfferRow(choice.workspace, reply.left, reply.prefix)
             self.scheduler.update_offers(choice.entry, [row])
             self.grant_free_slots()
@@ -304,13 +306,15 @@
             None if the attempt may run, else the refusal.
         """
         if self.is_leaving():
-            return failure(Kind.LEAVING, "the agent is leaving; use another")
+            return failure(
+                FailureKind.LEAVING, "the agent is leaving; use another"
+            )
         refusal = self.membership.refusal()
         if refusal is not None:
             return refusal
         if not self.endpoint.is_ready:
             return failure(
-                Kind.NO_ENDPOINT,
+                FailureKind.NO_ENDPOINT,
                 "the endpoint is not ready; use another",
                 retry_after=random.uniform(1.0, 3.0),
             )
@@ -318,10 +322,13 @@
         if grant:
             if self.grants.pop(grant, None) is None:
                 return failure(
-                    Kind.BUSY, "the grant has expired; queue the request again"
+                    FailureKind.BUSY,
+                    "the grant has expired; queue the request again",
                 )
         elif self.free == 0 or not self.scheduler.may_bypass_queue(workspace):
-            return failure(Kind.BUSY, "no slot is free for a direct attempt")
+            return failure(
+                FailureKind.BUSY, "no slot is free for a direct attempt"
+            )
         self.running += 1
         return None
 
--- a/packages/fleet/src/marjoramyard/fleet/control/node.py
+++ b/packages/fleet/src/marjoramyard/fleet/control/node.py
@@ -20,9 +20,9 @@
 from marjoramyard.coordination.consensus.replica import RaftTimings, Role
 from marjoramyard.coordination.governance.commands import Command, Reply
 from marjoramyard.coordination.governance.state import ControlState
-from marjoramyard.fleet.control.peer_clients import PeerClients
+from marjoramyard.fleet.control.raft_transport import RaftTransport
 from marjoramyard.fleet.control.storage import Storage
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 from marjoramyard.kernel.logs import get_logger
 from marjoramyard.kernel.metrics import Metrics
 
@@ -71,12 +71,12 @@
         self,
         storage: Storage,
         stored: StoredState,
-        peers: PeerClients,
+        transport: RaftTransport,
         metrics: Metrics,
         snapshot_every: int,
     ):
         self.storage = storage
-        self.peers = peers
+        self.transport = transport
         self.metrics = metrics
         self.snapshot_every = snapshot_every
         self.core = RaftCore(
@@ -129,7 +129,7 @@
 
     def receive(self, envelopes: list[Envelope]) -> None:
         """Passes messages of other replicas to the core."""
-        self.peers.learn_addresses(envelopes)
+        self.transport.record_reply_addresses(envelopes)
         for envelope in envelopes:
             self.core.receive(envelope)
         self.schedule_processing()
@@ -154,7 +154,7 @@
         """Replicates a membership change.
 
         Only one change may be uncommitted at a time; another one fails with
-        `Kind.CONFLICT`.
+        `FailureKind.CONFLICT`.
 
         Args:
             membership: The new membership; at most one voter differs.
@@ -166,7 +166,7 @@
                 return Err(self.not_leader())
             return Err(
                 failure(
-                    Kind.CONFLICT,
+                    FailureKind.CONFLICT,
                     "another membership change is not committed yet; try "
                     "again in a moment",
                 )
@@ -219,8 +219,8 @@
         if leader == self.core.replica_id:
             address = None
         reason = failure(
-            Kind.NOT_LEADER,
-            "this control host does not lead; ask the leader named here",
+            FailureKind.NOT_LEADER,
+            "this control host is not the leader; use the leader named here",
             retry_after=MAX_ELECTION_SECONDS,
         )
         return msgspec.structs.replace(reason, leader=address)
@@ -253,7 +253,9 @@
         while not (ready := self.core.take_ready()).is_empty:
             self._store(ready)
             self.core.mark_synced()
-            self.peers.send(ready.messages, self.core.membership.addresses)
+            self.transport.enqueue(
+                ready.messages, self.core.membership.addresses
+            )
             self._apply(ready)
         self._resolve_reads()
         self._report_role_change()
@@ -335,7 +337,7 @@
 def no_quorum(outcome: Outcome = Outcome.NOT_RUN) -> Failure:
     """Returns the failure of a command that no quorum has acknowledged."""
     return failure(
-        Kind.NO_QUORUM,
+        FailureKind.NO_QUORUM,
         "no quorum of control hosts answered; look at `marjoramctl status`, "
         "then send it again",
         outcome,
--- a/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/request_handler.py
@@ -33,19 +33,29 @@
 from marjoramyard.fleet.util.control_client import ControlClient
 from marjoramyard.kernel.errors import (
     Failure,
+    FailureKind,
     FleetError,
-    Kind,
     Outcome,
     failure,
 )
 from marjoramyard.kernel.ids import AttemptId, new_attempt_id
 
 _AGENT_REFUSALS = frozenset(
-    {Kind.BUSY, Kind.LEAVING, Kind.NO_ENDPOINT, Kind.NO_LEASE, Kind.NOT_FOUND}
+    {
+        FailureKind.BUSY,
+        FailureKind.LEAVING,
+        FailureKind.NO_ENDPOINT,
+        FailureKind.NO_LEASE,
+        FailureKind.NOT_FOUND,
+    }
 )
 """Refusals that concern one agent only; another may accept the request."""
 _RETRYABLE = frozenset(
-    {Kind.ENDPOINT_LOST, Kind.ENDPOINT_STALLED, Kind.RESPONSE_TRUNCATED}
+    {
+        FailureKind.ENDPOINT_LOST,
+        FailureKind.ENDPOINT_STALLED,
+        FailureKind.RESPONSE_TRUNCATED,
+    }
 )
 
 
@@ -74,12 +84,12 @@
         return budget
 
     def on_request(self, request: CallerRequest) -> None:
-        """Credits both budgets with the configured part of a retry."""
+        """Credits both budgets with the configured fraction of a retry."""
         for budget in self._of(request):
             budget.on_request()
 
     def spend(self, request: CallerRequest) -> bool:
-        """Takes one retry from both budgets; returns False if one is empty."""
+        """Spends a retry of both budgets; returns False if one is exhausted."""
         budgets = self._of(request)
         if any(budget.tokens < 1.0 for budget in budgets):
             return False
@@ -157,7 +167,7 @@
         delivery = ResponseDelivery(
             request, self.app.settings.caller_stall_seconds
         )
-        dispatcher.count_run(placement.address, 1)
+        dispatcher.adjust_in_flight(placement.address, 1)
         try:
             async with aclosing(client.frames()) as frames:
                 response = await delivery.run(frames)
@@ -184,7 +194,7 @@
             self.app.tasks.spawn(client.cancel())
             raise
         finally:
-            dispatcher.count_run(placement.address, -1)
+            dispatcher.adjust_in_flight(placement.address, -1)
 
     def _check_may_run(
         self, request: CallerRequest, dispatcher: ServiceDispatcher
@@ -217,7 +227,7 @@
         reason = error.failure
         if isinstance(error, AttemptLostError):
             dispatcher.back_off(placement.address)
-        elif reason.kind is Kind.ENDPOINT_LOST:
+        elif reason.kind is FailureKind.ENDPOINT_LOST:
             ran = reason.outcome != Outcome.NOT_RUN.value
             request.suspect = request.suspect or ran
 
@@ -242,7 +252,7 @@
             request.call,
         )
 
-    # Outcomes other than a complete response.
+    # Failed attempts.
 
     async def _on_refusal(
         self,
@@ -251,12 +261,12 @@
         dispatcher: ServiceDispatcher,
         placement: Placement,
     ) -> None:
-        """Lets the request go on to another agent.
+        """Returns if the request may be sent to another agent.
 
         Raises:
             FleetError: The refusal applies to all agents.
         """
-        if reason.kind is Kind.SUSPECT_HELD:
+        if reason.kind is FailureKind.SUSPECT_HELD:
             # In the queue it would be granted slots that it can't use
             # while another suspect runs.
             request.suspect = True
@@ -267,7 +277,7 @@
             raise FleetError(
                 msgspec.structs.replace(reason, outcome=Outcome.NOT_RUN.value)
             )
-        if reason.kind is not Kind.BUSY:
+        if reason.kind is not FailureKind.BUSY:
             dispatcher.back_off(placement.address)
 
     async def _on_failure(
@@ -277,14 +287,14 @@
         delivery: ResponseDelivery,
         reason: Failure,
     ) -> web.StreamResponse | None:
-        """Decides after a lost or failed attempt.
+        """Decides whether a lost or failed attempt may be repeated.
 
         Returns:
             The aborted response if a part of it was delivered; None if
             another attempt may be made.
 
         Raises:
-            FleetError: The request ends with this failure.
+            FleetError: The request has failed.
         """
         if request.delivered:
             self.app.tasks.spawn(client.cancel())
@@ -315,12 +325,12 @@
     async def _on_failed_call(
         self, request: CallerRequest, client: AttemptClient, reason: Failure
     ) -> None:
-        """Decides after a failed attempt of a call that must not repeat.
+        """Decides whether a failed call may be attempted again.
 
         Returns None if another attempt may be made.
 
         Raises:
-            FleetError: The call ends, with the outcome that the ledger has.
+            FleetError: The call has failed, with the outcome in the ledger.
         """
         if reason.outcome == Outcome.NOT_RUN.value and client.admitted:
             # The ledger has the call as started, which is final, but the
@@ -364,16 +374,16 @@
 
 def _no_endpoint(request: CallerRequest) -> Failure:
     return failure(
-        Kind.NO_ENDPOINT,
-        f"no endpoint of {request.service_id} has announced itself; come "
-        "back when one has",
+        FailureKind.NO_ENDPOINT,
+        f"no endpoint of {request.service_id} has announced itself; retry "
+        "when one has",
         retry_after=random.uniform(1.0, 3.0),
     )
 
 
 def _deadline_passed(retry_after: float) -> Failure:
     return failure(
-        Kind.DEADLINE,
+        FailureKind.DEADLINE,
         "the deadline passed before the request could be run",
         retry_after=retry_after,
     )
@@ -381,7 +391,7 @@
 
 def _stalled() -> Failure:
     return failure(
-        Kind.RESPONSE_TRUNCATED,
+        FailureKind.RESPONSE_TRUNCATED,
         "the caller read no data within the stall timeout",
         Outcome.UNKNOWN,
     )
@@ -389,7 +399,7 @@
 
 def _retry_budget_spent(reason: Failure) -> Failure:
     return failure(
-        Kind.RETRY_BUDGET_EXHAUSTED,
-        f"{reason.message}; not retried because the retry budget is spent",
+        FailureKind.RETRY_BUDGET_EXHAUSTED,
+        f"{reason.message}; not retried because the retry budget is exhausted",
         Outcome.UNKNOWN,
     )
--- a/packages/fleet/src/marjoramyard/fleet/entry/responses.py
+++ b/packages/fleet/src/marjoramyard/fleet/entry/responses.py
@@ -1,4 +1,4 @@
-"""Delivers a response to the caller, or aborts it visibly."""
+"""Delivers a response to the caller, or aborts it."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,11 +10,11 @@
 from marjoramyard.fleet.entry.requests import CallerRequest
 from marjoramyard.fleet.messages import FailureBody
 from marjoramyard.fleet.util.headers import copy_headers, is_stream
-from marjoramyard.kernel.errors import Failure, Kind, Outcome, failure
+from marjoramyard.kernel.errors import Failure, FailureKind, Outcome, failure
 
 OUTCOME_HEADER = "X-Marjoramyard-Outcome"
 MAX_BUFFERED_BYTES = 1 << 20
-"""Up to this size a response that is no stream is buffered until its end, so
+"""Up to this size a response other than a stream is buffered until its end, so
 that a truncated one can be retried and the outcome header can be set."""
 
 
@@ -36,7 +36,7 @@
     Attributes:
         stall_seconds: How long a write to the caller may take.
         response: Set once the response has begun.
-        head: The head of the frame with status and headers.
+        response_header: Header of frame 0, with HTTP status and headers.
         buffer: Data that was received before the response began.
     """
 
@@ -44,7 +44,7 @@
         self.request = request
         self.stall_seconds = stall_seconds
         self.response: web.StreamResponse | None = None
-        self.head: FrameHeader | None = None
+        self.response_header: FrameHeader | None = None
         self.buffer = bytearray()
         self.first_byte_at: float | None = None
 
@@ -57,27 +57,27 @@
             CallerStalledError: The caller read no data for too long.
         """
         async for frame in frames:
-            if frame.head.failure is not None:
-                raise ResponseFailedError(frame.head.failure)
-            if frame.head.is_end:
+            if frame.header.failure is not None:
+                raise ResponseFailedError(frame.header.failure)
+            if frame.header.is_end:
                 return await self._finish()
-            if self.head is None:
-                self.head = frame.head
-                if is_stream(self.head.headers):
+            if self.response_header is None:
+                self.response_header = frame.header
+                if is_stream(self.response_header.headers):
                     await self._begin()
             else:
                 await self._add_data(frame.data)
         raise ResponseFailedError(
             failure(
-                Kind.RESPONSE_TRUNCATED,
+                FailureKind.RESPONSE_TRUNCATED,
                 "the response ended without its end frame",
                 Outcome.UNKNOWN,
             )
         )
 
     async def _begin(self) -> None:
-        response = web.StreamResponse(status=self.head.status)
-        copy_headers(self.head.headers, response)
+        response = web.StreamResponse(status=self.response_header.status)
+        copy_headers(self.response_header.headers, response)
         self.request.delivered = True
         self.response = response
         await response.prepare(self.request.http)
@@ -104,20 +104,20 @@
             await self.response.write_eof()
             return self.response
         response = web.Response(
-            status=self.head.status, body=bytes(self.buffer)
+            status=self.response_header.status, body=bytes(self.buffer)
         )
-        copy_headers(self.head.headers, response)
+        copy_headers(self.response_header.headers, response)
         response.headers[OUTCOME_HEADER] = Outcome.COMPLETE.value
         self.request.delivered = True
         return response
 
     async def abort(self, reason: Failure) -> None:
-        """Ends a response that has begun, so that it looks incomplete.
+        """Ends a response that has begun, so that it is seen to be incomplete.
 
         A stream gets an error event. The connection is closed without the
-        last chunk, as the caller would take the body for complete otherwise.
+        last chunk, which would mark the body as complete.
         """
-        if is_stream(self.head.headers):
+        if is_stream(self.response_header.headers):
             body = msgspec.json.encode(FailureBody(reason))
             try:
                 await self._write(b"event: error\ndata: " + body + b"\n\n")
--- a/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
+++ b/packages/fleet/src/marjoramyard/fleet/gateway/broker_client.py
@@ -48,7 +48,7 @@
         refusals: Recent refusals that still hold.
         liveness: Expires when the broker sends nothing for too long.
         last_number: The number of the last request.
-        pending: Place requests without a reply, by number.
+        pending: Placement requests without a reply, by number.
         running: Requests at endpoints, by number.
         outbox: Messages to be sent in the next frame.
     """
@@ -167,7 +167,7 @@
     async def place(
         self, caller: CallerRequest, service: Service, excluded: set[str]
     ) -> tuple[int, PlaceGrant | PlaceRefusal | None]:
-        """Requests a place for a request from the broker.
+        """Requests the placement of a request from the broker.
 
         Args:
             caller: The request.
@@ -216,7 +216,7 @@
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             if self.pending or any(r.tokens for r in self.running.values()):
-                self._send(Heartbeat(self.lag.is_late))
+                self._send(Heartbeat(self.lag.is_lagging))
 
     def on_started(self, running: RunningRequest, is_granted: bool) -> None:
         """Records that a request is being sent to an endpoint.
@@ -238,7 +238,7 @@
         running = self.running.get(number)
         if running is not None and running.tokens:
             running.tokens = 0.0
-            self._send(FirstToken(number, self.lag.is_late))
+            self._send(FirstToken(number, self.lag.is_lagging))
 
     def on_finished(self, number: int, failed: bool) -> None:
         """Reports that a request is no longer at its endpoint.
--- a/packages/fleet/tests/control/test_storage_failure.py
+++ b/packages/fleet/tests/control/test_storage_failure.py
@@ -14,7 +14,7 @@
 from marjoramyard.fleet.util.tasks import task_group
 from marjoramyard.kernel.ids import ReplicaId
 from marjoramyard.kernel.metrics import Metrics
-from marjoramyard.standin.local_fleet import until
+from marjoramyard.standin.local_fleet import wait_until
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
                 async def leads():
                     return role.is_leader()
 
-                await until(leads, "a leader")
+                await wait_until(leads, "a leader")
                 yield role
     finally:
         metrics.close()
@@ -80,7 +80,7 @@
     async def leads():
         return host.is_leader()
 
-    await until(leads, "the replica to restart")
+    await wait_until(leads, "the replica to restart")
     read = await host.service.read_config()
     assert read.ok_value.document in (first, second)
     assert isinstance(await host.service.put_config(second), Ok)
--- a/packages/fleet/tests/gateway/test_overload.py
+++ b/packages/fleet/tests/gateway/test_overload.py
@@ -7,7 +7,7 @@
     MIN_LIMIT,
     ConcurrencyLimit,
 )
-from marjoramyard.kernel.errors import FleetError, Kind
+from marjoramyard.kernel.errors import FailureKind, FleetError
 
 LATE = 2 * LATE_SECONDS
 
@@ -42,7 +42,7 @@
     assert limit.admits("w")
 
 
-def test_a_late_gateway_refuses_prompts_of_the_dominant_workspace(gateway):
+def test_a_lagging_gateway_refuses_prompts_of_the_dominant_workspace(gateway):
     """Guards against one workspace delaying the responses of all callers of a
     gateway.
     """
@@ -51,7 +51,7 @@
     limit.on_wake_up(LATE)
     with pytest.raises(FleetError) as caught, limit.admit("large"):
         pass
-    assert caught.value.failure.kind is Kind.OVERLOADED
+    assert caught.value.failure.kind is FailureKind.OVERLOADED
     assert caught.value.failure.retry_after > 1
     assert limit.pop_refused_counts() == {"large": 1}
     assert limit.total == 200
@@ -79,7 +79,7 @@
     assert limit.admits("large")
 
 
-def test_a_late_gateway_with_few_prompts_refuses_nothing(gateway):
+def test_a_lagging_gateway_with_few_prompts_refuses_nothing(gateway):
     limit = gateway.limit
     gateway.enter("w", 3)
     for _ in range(5):
--- /dev/null
+++ b/packages/standin/src/marjoramyard/standin/experiment/simulation_run.py
@@ -0,0 +1,53 @@
+"""Attempts of requests, and the result of a simulation run."""
+
+import msgspec
+
+from marjoramyard.standin.experiment.engine_model import (
+    SimulatedEngine,
+    SimulatedRequest,
+)
+from marjoramyard.standin.experiment.scoring import RequestRecord, RunScore
+
+
+class ResourceUsage(msgspec.Struct):
+    """Resources used in a run.
+
+    Attributes:
+        fetched_gb: Cached prompt parts copied between engines, in gigabytes.
+        cross_zone_mb: Request bodies sent between zones, in megabytes.
+        shared_prefilled_tokens: Tokens of shared parts that were prefilled.
+        prefill_utilisation: Share of engine time spent on prefill.
+        utilisation: Share of engine time spent on any step.
+        preemptions: Requests preempted for lack of memory.
+        refusals: Refused attempts.
+    """
+
+    fetched_gb: float = 0.0
+    cross_zone_mb: float = 0.0
+    shared_prefilled_tokens: float = 0.0
+    prefill_utilisation: float = 0.0
+    utilisation: float = 0.0
+    preemptions: int = 0
+    refusals: int = 0
+
+
+class SimulationRun(msgspec.Struct):
+    """The result of a simulation run."""
+
+    seed: int
+    scores: RunScore
+    usage: ResourceUsage
+    records: list[RequestRecord]
+
+
+class Attempt:
+    """One attempt of a request, until its response has ended."""
+
+    def __init__(self, number: int, record: RequestRecord, started_at: float):
+        self.key = f"{record.request.gateway}/{number}"
+        self.record = record
+        self.started_at = started_at
+        self.engine: SimulatedEngine | None = None
+        self.engine_request: SimulatedRequest | None = None
+        self.last_event_at = 0.0
+        self.is_over = False
