--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextlib
+import json
 import shutil
 import signal
 
@@ -115,12 +116,25 @@
     async with FakeEndpoint("i-2").serving() as other:
         await fleet.tell(other, host=1)
         await fleet.tell(endpoint, "draining", host=2)
+        log = fleet.folder / "gateway.log"
+
+        async def gateway_knows():
+            # The last line may be incomplete while it is written.
+            lines = log.read_text().splitlines()
+            events = [json.loads(line) for line in lines if line.endswith("}")]
+            return any(
+                event["event"] == "endpoint"
+                and event["endpoint"] == "i-1"
+                and event["state"] == "draining"
+                for event in events
+            )
 
         async def goes_to_the_other():
             before = len(other.seen)
             await fleet.served()
             return len(other.seen) > before
 
+        await until(gateway_knows)
         await until(goes_to_the_other)
         endpoint.seen.clear()
         for _ in range(10):
