--- a/packages/standin/src/marjoramyard/standin/processes.py
+++ b/packages/standin/src/marjoramyard/standin/processes.py
@@ -15,6 +15,8 @@
 _RANDOM = random.SystemRandom()
 """Not the module's own: Hypothesis seeds that one, and test processes that
 run side by side would draw the same ports."""
+_PORTS_RETURNED: set[int] = set()
+"""By `free_address`; they may not be bound yet."""
 
 
 def free_address() -> str:
@@ -27,11 +29,14 @@
     """
     while True:
         port = _RANDOM.choice(PORTS)
+        if port in _PORTS_RETURNED:
+            continue
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
+            _PORTS_RETURNED.add(port)
             return f"127.0.0.1:{port}"
 
 
--- a/packages/standin/tests/test_processes.py
+++ b/packages/standin/tests/test_processes.py
@@ -1,6 +1,7 @@
 """Addresses and processes of local fleets."""
 
 import asyncio
+import itertools
 import socket
 from pathlib import Path
 
@@ -26,12 +27,25 @@
         taken.bind(("127.0.0.1", 0))
         busy = taken.getsockname()[1]
         ports = (busy, int(free_address().rpartition(":")[2]))
+        # Otherwise the second port would not be returned again.
+        monkeypatch.setattr(
+            "marjoramyard.standin.processes._PORTS_RETURNED", set()
+        )
         draws = iter(ports)
         chooser = type("Chooser", (), {"choice": lambda *_: next(draws)})
         monkeypatch.setattr("marjoramyard.standin.processes._RANDOM", chooser())
         assert free_address() == f"127.0.0.1:{ports[1]}"
 
 
+def test_an_address_is_returned_only_once(monkeypatch):
+    """Guards against a process that is given one port for two listeners."""
+    first = free_address()
+    draws = itertools.chain([int(first.rpartition(":")[2])], PORTS)
+    chooser = type("Chooser", (), {"choice": lambda *_: next(draws)})
+    monkeypatch.setattr("marjoramyard.standin.processes._RANDOM", chooser())
+    assert free_address() != first
+
+
 async def test_an_address_can_be_listened_on():
     host, _, port = free_address().rpartition(":")
     server = await asyncio.start_server(lambda *_: None, host, int(port))
