--- a/packages/standin/src/marjoramyard/standin/processes.py
+++ b/packages/standin/src/marjoramyard/standin/processes.py
@@ -15,6 +15,8 @@
 _RANDOM = random.SystemRandom()
 """Separate from the global generator, which Hypothesis seeds: parallel test
 processes would otherwise draw the same ports."""
+_PORTS_RETURNED: set[int] = set()
+"""By `free_address`; they may not be bound yet."""
 
 
 def free_address() -> str:
@@ -25,11 +27,14 @@
     """
     while True:
         port = _RANDOM.choice(PORTS)
+        if port in _PORTS_RETURNED:
+            continue
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
+            _PORTS_RETURNED.add(port)
             return f"127.0.0.1:{port}"
 
 
--- a/packages/standin/tests/test_processes.py
+++ b/packages/standin/tests/test_processes.py
@@ -1,6 +1,7 @@
 """Addresses and processes of local fleets."""
 
 import asyncio
+import itertools
 import socket
 from pathlib import Path
 
@@ -24,12 +25,25 @@
         taken.bind(("127.0.0.1", 0))
         used_port = taken.getsockname()[1]
         ports = (used_port, int(free_address().rpartition(":")[2]))
+        # Otherwise the second port would not be returned again.
+        monkeypatch.setattr(
+            "marjoramyard.standin.processes._PORTS_RETURNED", set()
+        )
         draws = iter(ports)
         chooser = type("Chooser", (), {"choice": lambda *_: next(draws)})
         monkeypatch.setattr("marjoramyard.standin.processes._RANDOM", chooser())
         assert free_address() == f"127.0.0.1:{ports[1]}"
 
 
+def test_an_address_is_returned_only_once(monkeypatch):
+    """Guards against a process that is given one port for two listeners."""
+    first = free_address()
+    draws = itertools.chain([int(first.rpartition(":")[2])], PORTS)
+    chooser = type("Chooser", (), {"choice": lambda *_: next(draws)})
+    monkeypatch.setattr("marjoramyard.standin.processes._RANDOM", chooser())
+    assert free_address() != first
+
+
 async def test_a_free_address_can_be_bound():
     host, _, port = free_address().rpartition(":")
     server = await asyncio.start_server(lambda *_: None, host, int(port))
--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextlib
+import json
 import shutil
 import signal
 
@@ -116,12 +117,25 @@
     async with FakeEndpoint("i-2").running() as other:
         await fleet.send_heartbeat(other, host=1)
         await fleet.send_heartbeat(endpoint, "draining", host=2)
+        log = fleet.folder / "gateway.log"
+
+        async def gateway_knows():
+            # The last line may be incomplete while it is written.
+            lines = log.read_text().splitlines()
+            events = [json.loads(line) for line in lines if line.endswith("}")]
+            return any(
+                event["event"] == "endpoint"
+                and event["endpoint"] == "i-1"
+                and event["state"] == "draining"
+                for event in events
+            )
 
         async def other_is_used():
             before = len(other.requests)
             await fleet.is_serving()
             return len(other.requests) > before
 
+        await wait_until(gateway_knows)
         await wait_until(other_is_used)
         endpoint.requests.clear()
         for _ in range(10):
